--- a/sequoiaarch/gateway/app.py
+++ b/sequoiaarch/gateway/app.py
@@ -183,7 +183,7 @@
             stream=chat.stream,
             single=single,
             deadline=read_deadline(request),
-            trace=self._core.tracing.text(span),
+            trace=self._core.tracing.traceparent(span),
         )
         events = self._bridge.events(call, known=not single)
         if chat.stream:
@@ -403,7 +403,7 @@
             non_idempotent=once,
             single=single,
             deadline=read_deadline(request),
-            trace=self._core.tracing.text(span),
+            trace=self._core.tracing.traceparent(span),
         )
         return self._whole(call, self._bridge.events(call, known=True), span)
 
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -125,7 +125,7 @@
         span = self._parts.tracing.start(
             "home", request.trace, program=running.id, home=self._parts.me
         )
-        trace = self._parts.tracing.text(span)
+        trace = self._parts.tracing.traceparent(span)
         work = Work(running=running, call=call, request=request, trace=trace)
         result = "answered"
         try:
--- a/sequoiaarch/observe/traces.py
+++ b/sequoiaarch/observe/traces.py
@@ -60,7 +60,7 @@
             span.set_attribute(key, value)
         return span
 
-    def text(self, span: Span) -> str:
+    def traceparent(self, span: Span) -> str:
         """Return the traceparent text that names a span as the parent."""
         carrier: dict[str, str] = {}
         self._propagator.inject(carrier, set_span_in_context(span, Context()))
--- a/sequoiaarch/sidecar/executor.py
+++ b/sequoiaarch/sidecar/executor.py
@@ -89,7 +89,9 @@
         try:
             self._gate(dispatch)
             async with asyncio.timeout(dispatch.deadline):
-                return await self._admit(dispatch, emit, self._tracing.text(span))
+                return await self._admit(
+                    dispatch, emit, self._tracing.traceparent(span)
+                )
         except FailureError as error:
             span.set_attribute("error", error.failure.kind.value)
             return error.failure
