--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -17,7 +17,7 @@
 from ..storage.direct import DirectCaller
 from ..storage.hedged import HedgedCaller
 from ..storage.relayed import RelayedCaller, Way
-from .calls import PlatformCalls
+from .headers import PlatformCalls
 from .documents import (
     CONFIG_KEY,
     CONFIG_TOPIC,
--- a/sequoiaarch/tests/platform/site.py
+++ b/sequoiaarch/tests/platform/site.py
@@ -16,7 +16,7 @@
 from ...ingress.daemon import IngressDaemon
 from ...ingress.options import IngressOptions, StoreOptions
 from ...observe.events import EventLog
-from ...platform.calls import PlatformCalls
+from ...platform.headers import PlatformCalls
 from ...platform.program import SOURCES
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 from ...standins.target import (
