--- a/sequoiaarch/platform/headers.py
+++ b/sequoiaarch/platform/headers.py
@@ -42,7 +42,7 @@
 )
 
 
-class PlatformCalls:
+class PlatformCallCodec:
     """Read callers' headers and write those for targets."""
 
     def read(self, message: RequestMessage) -> CallInfo:
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -17,7 +17,7 @@
 from ..storage.direct import DirectCaller
 from ..storage.hedged import HedgedCaller
 from ..storage.relayed import RelayedCaller, Way
-from .headers import PlatformCalls
+from .headers import PlatformCallCodec
 from .documents import (
     CONFIG_KEY,
     CONFIG_TOPIC,
@@ -63,7 +63,7 @@
     daemon = IngressDaemon(
         options=options,
         keyed_log=PlatformLog(caller=caller),
-        codec=PlatformCalls(),
+        codec=PlatformCallCodec(),
         sources=SOURCES,
         peers=peers,
         reload=lambda: read_settings(path),
--- a/sequoiaarch/tests/platform/site.py
+++ b/sequoiaarch/tests/platform/site.py
@@ -16,7 +16,7 @@
 from ...ingress.daemon import IngressDaemon
 from ...ingress.options import IngressOptions, StoreOptions
 from ...observe.events import EventLog
-from ...platform.headers import PlatformCalls
+from ...platform.headers import PlatformCallCodec
 from ...platform.program import SOURCES
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 from ...standins.target import (
@@ -218,7 +218,7 @@
         daemon = IngressDaemon(
             options=options,
             keyed_log=client,
-            codec=PlatformCalls(),
+            codec=PlatformCallCodec(),
             sources=SOURCES,
             peers=peers,
             events=events,
