--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -162,7 +162,7 @@
             keyed_log=keyed_log,
             sources=sources,
             access=access,
-            changed=self._take_routes,
+            changed=self._apply_routes,
         )
         registrations = Registrations(
             decode=sources.decode_target, targets=self.targets
@@ -319,7 +319,7 @@
         for name, value in state.items():
             self._metrics.state(name, value)
 
-    def _take_routes(self, routes: RouteTable) -> None:
+    def _apply_routes(self, routes: RouteTable) -> None:
         self.dispatcher.routes = routes
         self.front.limits = self._server_limits(routes.limits)
 
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -100,7 +100,7 @@
 
 def goes_back() -> None:
     """Return to the first configuration now and then."""
-    take = IngressDaemon._take_routes
+    take = IngressDaemon._apply_routes
 
     def take_routes(self: IngressDaemon, routes: RouteTable) -> None:
         first = getattr(self, "first_routes", None)
@@ -111,7 +111,7 @@
         loop = asyncio.get_running_loop()
         loop.call_later(1.0, setattr, self.dispatcher, "routes", first)
 
-    setattr(IngressDaemon, "_take_routes", take_routes)  # noqa: B010
+    setattr(IngressDaemon, "_apply_routes", take_routes)  # noqa: B010
 
 
 def ignores_drains() -> None:
