--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -160,10 +160,10 @@
                 async with asyncio.timeout(self._patience()):
                     running, body = await self._whole_answer()
             except LinkError as error:
-                self._after_break(error)
+                self._check_retry(error)
                 continue
             except TimeoutError:
-                self._after_break(LinkError(LinkFault.TIMEOUT, sent=True))
+                self._check_retry(LinkError(LinkFault.TIMEOUT, sent=True))
                 continue
             head = running.head
             await self._reply.whole(
@@ -202,7 +202,7 @@
                 raise fail(ErrorKind.TARGET_FAILED, "the answer is too large")
         return bytes(body)
 
-    def _after_break(self, error: LinkError) -> None:
+    def _check_retry(self, error: LinkError) -> None:
         """Return if the request may be sent again after a broken answer."""
         if not self._attempts.may_repeat(error):
             raise fail(ErrorKind.INTERRUPTED, str(error)) from error
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -95,7 +95,7 @@
     def after_break(self: Exchange, error: LinkError) -> None:
         raise fail(ErrorKind.OVERLOADED, "the answer broke")
 
-    setattr(Exchange, "_after_break", after_break)  # noqa: B010
+    setattr(Exchange, "_check_retry", after_break)  # noqa: B010
 
 
 def goes_back() -> None:
