--- a/sequoiaarch/ingress/__init__.py
+++ b/sequoiaarch/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers in front of targets without any state that must last."""
+"""Stateless HTTP ingress: route callers' requests to targets."""
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -1,4 +1,4 @@
-"""Send one request until a target runs it."""
+"""Send one request to targets until one of them runs it."""
 
 from __future__ import annotations
 
@@ -17,30 +17,29 @@
 from .calls import AnswerInfo, CallInfo, Dispatch
 from .dispatcher import Dispatcher
 
-# A request that no target accepted is sent to at most so many: the others of
-# its service are as likely to be full.
-MOST_TRIES = 3
-# Seconds after which a caller may find room at a service that was full.
-BUSY_RETRY = 0.25
+# Targets that may reject one request; the others are likely full as well.
+MAX_REFUSALS = 3
+# Seconds after which callers of an overloaded service should retry.
+BUSY_RETRY_AFTER = 0.25
 SERVER_ERROR = 500
 
 
 @dataclass(kw_only=True, eq=False)
-class Running:
-    """Hold a request that a target answers; `begun` says that a part has come."""
+class TargetResponse:
+    """Response of a target; `body_started` is set once a part was received."""
 
     target: TargetEntry
     link: ClientLink
     head: ResponseHead
     answer: AnswerInfo
-    begun: bool = False
+    body_started: bool = False
 
 
 class Attempts:
-    """Hold the attempts of one request; each ends its target's work or keeps it.
+    """Send one request and track its attempts, including retries.
 
-    `body` is what targets get, `spent` the share of its budget that the
-    program has used, `trail` what was decided, in order.
+    `body` is the body to send and `budget_used` the share of the program's token
+    budget that is used. `steps` lists the routing decisions for the request log.
     """
 
     def __init__(
@@ -62,100 +61,105 @@
         self._deadline = deadline
         self._dispatcher = dispatcher
         self._tried: set[InstanceId] = set()
-        self._sends = 0
+        self._send_count = 0
         self.body = message.body
-        self.spent = 0.0
-        self.trail: list[str] = []
+        self.budget_used = 0.0
+        self.steps: list[str] = []
 
     @property
-    def last(self) -> bool:
-        """Return whether the next attempt is the last one that is allowed."""
-        return self._sends + 1 >= self._route.max_attempts
+    def is_last(self) -> bool:
+        """Return whether the next attempt is the last one that the route allows."""
+        return self._send_count + 1 >= self._route.max_attempts
 
-    async def open(self) -> Running:
-        """Send the request until a target runs it."""
+    async def open(self) -> TargetResponse:
+        """Send the request until a target runs it, and return its response."""
         refusals = 0
         while True:
             target, why = self._dispatcher.choose(self._route, self._info, self._tried)
-            if target is None or refusals >= MOST_TRIES:
-                raise self._unplaced(refusals)
+            if target is None or refusals >= MAX_REFUSALS:
+                raise self._placement_failure(refusals)
             self._tried.add(target.incarnation)
-            self.trail.append(f"{target.instance} chosen: {why}")
-            running = await self._send(target)
-            if running is not None:
-                return running
+            self.steps.append(f"{target.instance} chosen: {why}")
+            response = await self._send(target)
+            if response is not None:
+                return response
             refusals += 1
 
-    def close(self, running: Running, *, whole: bool) -> None:
-        """End an exchange; one that is not whole stops the target's work."""
+    def close(self, response: TargetResponse, *, complete: bool) -> None:
+        """End an exchange; abort its connection unless the response is complete."""
         load = self._dispatcher.load
-        instance = running.target.incarnation
-        load.gave_up(instance, self)
-        load.ended(instance)
-        if whole:
-            load.judged(instance, ok=running.head.status < SERVER_ERROR)
-            self._dispatcher.pool.give_back(
-                running.target, running.link, running.answer.idle_limit
+        instance = response.target.incarnation
+        load.discard(instance, self)
+        load.request_ended(instance)
+        if complete:
+            load.record_result(instance, ok=response.head.status < SERVER_ERROR)
+            self._dispatcher.pool.release(
+                response.target, response.link, response.answer.idle_limit
             )
         else:
-            running.link.abort()
+            response.link.abort()
 
     def may_repeat(self, error: LinkError) -> bool:
-        """Return whether a request may be sent again after a broken attempt."""
-        self.trail.append(f"broken:{error.fault.name}")
-        left = self._sends < self._route.max_attempts
+        """Take from the retry budget after a break; return whether to retry."""
+        self.steps.append(f"broken:{error.fault.name}")
+        left = self._send_count < self._route.max_attempts
         return self._route.repeatable and left and self._dispatcher.retries.take()
 
-    def broke(self, running: Running) -> None:
-        """Note that a target broke its answer off."""
-        self._dispatcher.load.judged(running.target.incarnation, ok=False)
+    def response_broken(self, response: TargetResponse) -> None:
+        """Record that a target's response ended early."""
+        self._dispatcher.load.record_result(response.target.incarnation, ok=False)
 
-    def got_first(self, running: Running) -> None:
-        """Note the first event of an answer."""
-        self._dispatcher.load.got_first(running.target.incarnation, self)
+    def first_event_received(self, response: TargetResponse) -> None:
+        """Record the first event of a response."""
+        self._dispatcher.load.first_event_received(response.target.incarnation, self)
 
-    async def next_part(self, running: Running) -> bytes | None:
-        """Wait for more of a stream, which the target owes in time; None at its end.
+    async def next_part(self, response: TargetResponse) -> bytes | None:
+        """Return the next part of a stream, or None at its end.
 
-        What this process does between two parts is no silence of the target.
+        The target's deadline for the part starts at this call, so that it excludes
+        the time in which this process handled the previous one.
         """
         load = self._dispatcher.load
-        instance = running.target.incarnation
-        if running.begun and self._route.event_pause:
-            load.expects(instance, self, next_event_due(self._route.event_pause))
-        part = await running.link.body_part()
-        running.begun = True
-        load.heard(instance, self)
+        instance = response.target.incarnation
+        if response.body_started and self._route.event_pause:
+            load.expect_within(instance, self, next_event_due(self._route.event_pause))
+        part = await response.link.body_part()
+        response.body_started = True
+        load.data_received(instance, self)
         return part
 
-    def _unplaced(self, refusals: int) -> FailureError:
-        """Return why no target ran the request; no promise if one may have."""
-        if self._sends:
-            return fail(ErrorKind.INTERRUPTED, "an attempt broke, no other was left")
+    def _placement_failure(self, refusals: int) -> FailureError:
+        """Return the failure when no target is left to run the request."""
+        if self._send_count:
+            return fail(
+                ErrorKind.INTERRUPTED, "an attempt broke and no other target is left"
+            )
         if refusals:
             reason = f"{refusals} targets refused"
-            return fail(ErrorKind.OVERLOADED, reason, retry_after=BUSY_RETRY)
-        return fail(ErrorKind.NO_TARGET, "no target", retry_after=BUSY_RETRY)
+            return fail(ErrorKind.OVERLOADED, reason, retry_after=BUSY_RETRY_AFTER)
+        return fail(
+            ErrorKind.NO_TARGET, "no target is available", retry_after=BUSY_RETRY_AFTER
+        )
 
-    async def _send(self, target: TargetEntry) -> Running | None:
-        """Send the request; None if it has not run there or may be repeated."""
+    async def _send(self, target: TargetEntry) -> TargetResponse | None:
+        """Send the request; return None if another target should be tried."""
         load = self._dispatcher.load
-        load.started(target.incarnation)
-        running: Running | None = None
+        load.request_started(target.incarnation)
+        response: TargetResponse | None = None
         link: ClientLink | None = None
         token: float | None = None
         try:
-            link = await self._dispatcher.pool.take(target)
-            await self._admit_send()
+            link = await self._dispatcher.pool.acquire(target)
+            await self._authorise_send()
             token = self._credit.spend()
-            await link.send(self._outgoing(target))
-            self._sends += 1
-            self._dispatcher.sent(target, self._route, self._info, self)
-            running = await self._await_head(target, link)
-            if running is None:
+            await link.send(self._outgoing_request(target))
+            self._send_count += 1
+            self._dispatcher.request_sent(target, self._route, self._info, self)
+            response = await self._await_head(target, link)
+            if response is None:
                 self._credit.restore(token)
         except LinkError as error:
-            load.judged(target.incarnation, ok=False)
+            load.record_result(target.incarnation, ok=False)
             self._abort(link)
             if not error.sent:
                 self._credit.restore(token)
@@ -165,10 +169,10 @@
             self._abort(link)
             raise
         finally:
-            if running is None:
-                load.gave_up(target.incarnation, self)
-                load.ended(target.incarnation)
-        return running
+            if response is None:
+                load.discard(target.incarnation, self)
+                load.request_ended(target.incarnation)
+        return response
 
     def _abort(self, link: ClientLink | None) -> None:
         if link is not None:
@@ -176,38 +180,42 @@
 
     async def _await_head(
         self, target: TargetEntry, link: ClientLink
-    ) -> Running | None:
+    ) -> TargetResponse | None:
         while True:
             head = await link.head()
-            answer = self._dispatcher.codec.answer(head)
+            answer = self._dispatcher.codec.read_response(head)
             if answer.attempt is None or answer.attempt == self._info.attempt:
                 break
-            self.trail.append("skipped another's answer")
+            self.steps.append("skipped response of another attempt")
             await link.skip_response()
         if answer.not_run:
-            await self._not_run(target, link, head, answer)
+            await self._skip_response(target, link, head, answer)
             return None
         if answer.coded:
-            # Nobody asked for an encoding: these are not the target's bytes.
-            raise LinkError(LinkFault.GARBLED, "the body is encoded", sent=True)
-        self.trail.append(f"{target.instance}:{head.status}")
-        return Running(target=target, link=link, head=head, answer=answer)
+            # No content encoding was requested.
+            raise LinkError(
+                LinkFault.GARBLED,
+                "the response has an unexpected content encoding",
+                sent=True,
+            )
+        self.steps.append(f"{target.instance}:{head.status}")
+        return TargetResponse(target=target, link=link, head=head, answer=answer)
 
-    async def _not_run(
+    async def _skip_response(
         self,
         target: TargetEntry,
         link: ClientLink,
         head: ResponseHead,
         answer: AnswerInfo,
     ) -> None:
-        """Take a target's word that it did not run the request."""
-        self._sends -= 1
-        self.trail.append(f"{target.instance}:not run {head.status}")
+        """Read the rest of a response that reports the request as not run."""
+        self._send_count -= 1
+        self.steps.append(f"{target.instance}:not run {head.status}")
         while await link.body_part() is not None:
             pass
-        self._dispatcher.pool.give_back(target, link, answer.idle_limit)
+        self._dispatcher.pool.release(target, link, answer.idle_limit)
 
-    def _outgoing(self, target: TargetEntry) -> RequestMessage:
+    def _outgoing_request(self, target: TargetEntry) -> RequestMessage:
         left = self._deadline - asyncio.get_running_loop().time()
         dispatch = Dispatch(
             instance=target.instance,
@@ -218,25 +226,25 @@
         )
         return self._dispatcher.codec.forward(self._message, dispatch)
 
-    async def _admit_send(self) -> None:
-        """Check key and limit as the request is sent; it may have waited for long."""
+    async def _authorise_send(self) -> None:
+        """Check the API key and the quota again immediately before a send."""
         try:
             refusal = await self._credit.ensure()
             if refusal is not None:
                 raise quota_failure(self._caller, refusal)
-            # Last, as a keeper that does not answer takes a while.
+            # After the quota, as waiting for that may take long.
             self._dispatcher.access.confirm(
                 self._caller, self._info.key_text, public=self._route.public
             )
         except FailureError as error:
-            if not self._sends:
+            if not self._send_count:
                 raise
-            # An earlier attempt may have run, so nothing can be promised.
+            # An earlier attempt may have run, so it can't be reported as not run.
             raise fail(ErrorKind.INTERRUPTED, str(error)) from error
 
     def _urgency(self) -> int | None:
-        """Return the urgency at an engine; a workspace's priority goes first."""
+        """Return the urgency by the priority of the workspace, or else of the route."""
         rank = self._caller.priority
         if rank is None:
             rank = self._route.priority
-        return self._dispatcher.urgency(self._route, self._info, rank, self.spent)
+        return self._dispatcher.urgency(self._route, self._info, rank, self.budget_used)
--- a/sequoiaarch/ingress/calls.py
+++ b/sequoiaarch/ingress/calls.py
@@ -1,4 +1,4 @@
-"""Hold what requests and responses say of themselves, and how to read it."""
+"""Request and response metadata, independent of the header format."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Secret:
-    """Hold a key so that no log line or error can show it."""
+    """Wrap an API key so that its representation never reveals it."""
 
     def __init__(self, value: str) -> None:
         self._value = value
@@ -20,23 +20,22 @@
         return "Secret()"
 
     def reveal(self) -> str:
-        """Return the key."""
+        """Return the plain API key."""
         return self._value
 
 
 class PromptPart(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a part of a prompt that several requests may share."""
+    """Identify a prompt part that requests may share, with its token count."""
 
     part: str
     tokens: int
 
 
 class CallInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what a request says of itself; times in seconds from its arrival.
+    """Metadata of a caller's request; times in seconds from its arrival.
 
-    `most_tokens` is the most that it may generate, `expected_tokens` the
-    caller's estimate; `previous` names the turn that it continues from. The key is
-    secret and shows in no representation.
+    `most_tokens` is the maximum number of generated tokens and `expected_tokens`
+    the caller's estimate of it. `previous` is the turn that the request continues.
     """
 
     attempt: AttemptId
@@ -56,15 +55,15 @@
 
     @property
     def key_text(self) -> str | None:
-        """Return the caller's key, which must not be logged or sent."""
+        """Return the caller's API key, which must not be logged or forwarded."""
         return self.key.reveal() if self.key is not None else None
 
 
 class Dispatch(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how a request goes to a target; the deadline in seconds.
+    """Parameters for forwarding a request to a target.
 
-    The most urgent requests have urgency 0, the least 9. `workspace` is the one
-    of the caller's key, if there is one.
+    `deadline` is in seconds from now. `urgency` ranges from 0, the most urgent, to
+    9. `workspace` is the one that the caller's API key belongs to.
     """
 
     instance: InstanceId
@@ -75,11 +74,11 @@
 
 
 class AnswerInfo(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what a target's response says of itself.
+    """Metadata of a target's response.
 
-    `not_run` says that the target did not run the request, `idle_limit` after
-    how many seconds it closes an idle connection, `coded` that the body is
-    encoded; `headers` are those for the caller.
+    `not_run` tells that the target did not run the request, `idle_limit` after how
+    many seconds the target closes an idle connection, and `coded` that the body
+    has a content encoding. `headers` are forwarded to the caller.
     """
 
     attempt: AttemptId | None
@@ -91,16 +90,16 @@
 
 
 class CallCodec(Protocol):
-    """Read callers' headers and write those for targets."""
+    """Decode and encode the headers of callers and targets."""
 
-    def read(self, message: RequestMessage) -> CallInfo:
-        """Return what a request says of itself; raises ValueError."""
+    def read_request(self, message: RequestMessage) -> CallInfo:
+        """Return the metadata of a request; raises ValueError."""
 
     def forward(self, message: RequestMessage, dispatch: Dispatch) -> RequestMessage:
-        """Return the request as the target is to receive it."""
+        """Return the request to send to the target."""
 
-    def answer(self, head: ResponseHead) -> AnswerInfo:
-        """Return what a target's response says of itself."""
+    def read_response(self, head: ResponseHead) -> AnswerInfo:
+        """Return the metadata of a target's response."""
 
     def failure_headers(self, attempt: AttemptId, retry_after: float | None) -> Headers:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of an error response that the gateway generates."""
--- a/sequoiaarch/ingress/configuration.py
+++ b/sequoiaarch/ingress/configuration.py
@@ -1,4 +1,4 @@
-"""Follow the operator's configuration, and know how old the view of it is."""
+"""Follow the operator's configuration and track how stale the local copy is."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 
 log = logbook.Logger("daemon")
 
-READS_WITHIN_LIMIT = 5
+# A local copy may fail to refresh a few times before it exceeds its age limit.
+READS_PER_AGE_LIMIT = 5
 
 
-class Configuration:
-    """Take over each newer version that can be understood."""
+class ConfigurationFollower:
+    """Apply each newer configuration version that decodes without errors."""
 
     def __init__(
         self,
@@ -26,51 +27,51 @@
         keyed_log: KeyedLog,
         sources: Sources,
         access: Access,
-        changed: Callable[[RouteTable], None],
+        on_change: Callable[[RouteTable], None],
     ) -> None:
         self._sources = sources
         self._access = access
-        self._changed = changed
+        self._on_change = on_change
         self._version: int | None = None
         self._follower = TopicFollower(
             log=keyed_log,
             topic=sources.routes_topic,
-            replace=self._take_all,
-            change=self._take,
-            wait=read_wait(access.limit),
+            replace=self._apply_all,
+            change=self._apply,
+            wait=max_read_wait(access.limit),
         )
         access.age = lambda: boot_time() - self._follower.seen_from
 
     async def follow(self) -> None:
-        """Read on for ever."""
+        """Follow the configuration topic until cancelled."""
         await self._follower.follow()
 
-    def _take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def _apply_all(self, records: Sequence[KeyedRecord]) -> None:
         for record in records:
-            self._take(record)
+            self._apply(record)
 
-    def _take(self, record: KeyedRecord) -> None:
+    def _apply(self, record: KeyedRecord) -> None:
         if record.key != self._sources.routes_key or not record.value:
             return
         try:
             routes = self._sources.decode_routes(record.value)
         except ValueError as error:
-            log.error("configuration can't be read and is passed over: {}", error)
+            log.error("configuration can't be decoded and is ignored: {}", error)
             return
         if self._version is not None and routes.version <= self._version:
             return
         self._version = routes.version
         self._access.directory = routes.workspaces
-        self._changed(routes)
+        self._on_change(routes)
         log.info("version {}: {} routes", routes.version, routes.route_count)
 
 
-def read_wait(limit: float | None) -> float:
-    """Return how long a read may wait for a change where a view counts for a time.
+def max_read_wait(limit: float | None) -> float:
+    """Return the long-poll timeout of reads for an age limit, both in seconds.
 
-    A view is up to two reads old while all goes well. It has to stay far below the
-    limit, so that reads that fail for a second refuse nobody.
+    In normal operation the local copy is up to two reads old. That must stay well
+    below the limit, so that callers aren't refused after a few failed reads.
     """
     if limit is None:
         return WAIT_SECONDS
-    return min(WAIT_SECONDS, limit / READS_WITHIN_LIMIT)
+    return min(WAIT_SECONDS, limit / READS_PER_AGE_LIMIT)
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -1,4 +1,4 @@
-"""Run one ingress daemon: followers, ledger and the callers' front."""
+"""The ingress daemon: HTTP servers, store followers and background tasks."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 from ..workspaces.quotas import Quotas, local_quotas
 from ..workspaces.spans import QuotaBounds
 from .calls import CallCodec
-from .configuration import Configuration, read_wait
+from .configuration import ConfigurationFollower, max_read_wait
 from .dispatcher import Dispatcher
 from .handler import RequestHandler
 from .options import IngressOptions
@@ -48,29 +48,30 @@
 
 log = logbook.Logger("daemon")
 
-# Heartbeats of all targets arrive several times a second; a target that drains
-# must get nothing new two seconds later. Seconds.
-TARGETS_GATHER = 0.3
-# The balancer asks once a second and needs two misses; new connections may
-# come until then. Seconds.
-READY_NOTICE = 2.6
-STOP_MARGIN = 1.0
+# Seconds over which target updates are batched; draining targets must stop getting
+# new requests within two seconds.
+TARGETS_BATCH_SECONDS = 0.3
+# Seconds from becoming unready until the load balancer sends no new connections: it
+# probes once a second and needs two failed probes.
+UNREADY_NOTICE = 2.6
+# Seconds of the stop timeout left to write queued records and close.
+STOP_RESERVE = 1.0
 WRITER_BYTES = 6
-# Bodies of open requests may take this share of the memory: turns and the
-# interpreter need the rest. Connections of callers may take this share of the
-# descriptors; those to targets, store and peers need the rest.
-HELD_SHARE = 0.15
-# Turns of programs that this process meets again need no read of the store.
-TURNS_SHARE = 0.1
-LINKS_SHARE = 0.6
+# Share of the memory for the bodies of open requests.
+BODY_MEMORY_SHARE = 0.15
+# Share of the memory for the cache of committed turns.
+TURN_MEMORY_SHARE = 0.1
+# Share of the file descriptors for connections of callers; targets, store and peers
+# need the rest.
+CALLER_LINKS_SHARE = 0.6
 METRICS_PATH = b"/metrics"
-# A process that hears nothing of the fleet keeps its shares of limits for this time
-# where keys count for ever. Seconds.
+# Seconds for which a process without contact to its peers keeps its shares of rate
+# limits, where keys have no age limit.
 DEFAULT_LEASE = 10.0
 
 
 class IngressDaemon:
-    """Hold the parts of one ingress daemon."""
+    """Build, run and stop the components of one ingress daemon."""
 
     def __init__(
         self,
@@ -88,16 +89,16 @@
         self._reload = reload
         self._options = options
         rng = random.Random()
-        self.targets = Targets(dropped=self._forget)
+        self.targets = Targets(dropped=self._forget_target)
         writer = WriterId(secrets.token_hex(WRITER_BYTES))
-        # Without peers nobody could borrow, and the lent part would lie idle.
+        # Without peers nobody could borrow the part of budgets that is lent.
         split: BudgetSplit = WholeInLog() if peers is None else PartLent()
         places = Places(per_topic=options.store.partitions)
         self.ledger = Ledger(
             log=keyed_log,
             writer=writer,
             places=places,
-            turn_bytes=int(options.memory_bytes * TURNS_SHARE),
+            turn_bytes=int(options.memory_bytes * TURN_MEMORY_SHARE),
             split=split,
         )
         sweeper = Sweeper(
@@ -107,22 +108,22 @@
             rng=rng,
         )
         memory = PrefixMemory()
-        health = TargetHealth(own=options.host, place=self._place)
+        health = TargetHealth(own=options.host, place=self._host_rank)
         access = Access(limit=options.key_age_limit)
         self.dispatcher = Dispatcher(
             codec=codec,
             data_centre=options.data_centre,
             targets=self.targets,
-            engines=PrefixPlacement(memory=memory, rng=rng),
+            engine_placement=PrefixPlacement(memory=memory, rng=rng),
             memory=memory,
-            plain=NearestFree(rng=rng),
+            service_placement=NearestFree(rng=rng),
             health=health,
             access=access,
             rng=rng,
         )
         self._metrics = metrics or RequestMetrics()
         self.dispatcher.store_way = store_way
-        access.reached = self.dispatcher.store_reached
+        access.reached = self.dispatcher.store_reachable
         bounds = options.quota or QuotaBounds()
         quotas: Quotas = local_quotas(limits=access.limit_of, bounds=bounds)
         turns: Turns = LocalTurns(ledger=self.ledger)
@@ -140,7 +141,7 @@
                     of=access.limit_of,
                     bounds=bounds,
                     lease=options.key_age_limit or DEFAULT_LEASE,
-                    wait=read_wait(options.key_age_limit),
+                    wait=max_read_wait(options.key_age_limit),
                 ),
             )
             quotas = self._fleet.quotas
@@ -157,12 +158,12 @@
         self.front = Server(
             handle=handler.handle, limits=self._server_limits(ClientLimits())
         )
-        self._ready = Server(handle=self._answer_ready, limits=ServerLimits())
-        configuration = Configuration(
+        self._ready = Server(handle=self._handle_ready, limits=ServerLimits())
+        configuration = ConfigurationFollower(
             keyed_log=keyed_log,
             sources=sources,
             access=access,
-            changed=self._apply_routes,
+            on_change=self._apply_routes,
         )
         registrations = Registrations(
             decode=sources.decode_target, targets=self.targets
@@ -172,12 +173,12 @@
             topic=sources.targets_topic,
             replace=registrations.take_all,
             change=registrations.take,
-            gather=TARGETS_GATHER,
+            gather=TARGETS_BATCH_SECONDS,
             lost=self.targets.store_lost,
             regained=self.targets.store_regained,
         )
-        self.dispatcher.targets_read = lambda: self._targets_follower.read_at
-        self._parts: list[Coroutine[Any, Any, None]] = [
+        self.dispatcher.targets_read_at = lambda: self._targets_follower.read_at
+        self._background: list[Coroutine[Any, Any, None]] = [
             configuration.follow(),
             self._targets_follower.follow(),
             self.ledger.trim(),
@@ -187,29 +188,29 @@
             self.dispatcher.load.watch(),
         ]
         if events is not None:
-            self._parts.append(events.run())
+            self._background.append(events.run())
         if self._fleet is not None:
-            self._parts += self._fleet.parts(self._longest_retention)
+            self._background += self._fleet.parts(self._longest_retention)
         self._stopping = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
     def ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether the load balancer should send callers here."""
         return (
             self.dispatcher.routes is not None
             and len(self.targets) > 0
-            and self.dispatcher.store_reached()
+            and self.dispatcher.store_reachable()
             and not self._stopping.is_set()
         )
 
     async def run(self) -> None:
-        """Run until a signal stops the daemon."""
+        """Start the daemon and run it until SIGTERM or SIGINT."""
         await self.start()
         await self.run_until_stopped()
 
     async def run_until_stopped(self) -> None:
-        """Wait for the signal that stops the daemon, and stop."""
+        """Wait for SIGTERM or SIGINT, and stop."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
         loop.add_signal_handler(signal.SIGINT, self._stopping.set)
@@ -218,55 +219,52 @@
         await self.stop()
 
     def reload(self) -> None:
-        """Read the settings again; addresses of this process stay as they are.
-
-        Without a handler the signal ends the process and every request on it.
-        """
+        """Reload the settings on SIGHUP; listening addresses don't change."""
         if self._reload is None:
             return
         try:
             self._options = self._reload()
         except (OSError, ValueError) as error:
-            log.error("settings can't be read, the earlier ones stay: {}", error)
+            log.error("settings can't be read, keeping the previous ones: {}", error)
             return
-        log.info("settings read again as {}", self._options.host)
+        log.info("settings reloaded as {}", self._options.host)
 
     async def start(self) -> None:
-        """Listen and begin to follow the store."""
+        """Start listening and the background tasks."""
         await self._ready.start(*self._options.ready)
         await self.front.start(*self._options.front)
-        self._tasks = [asyncio.create_task(part) for part in self._parts]
+        self._tasks = [asyncio.create_task(part) for part in self._background]
         log.info("started as {}, writer {}", self._options.host, self.ledger.writer)
 
     async def stop(self) -> None:
-        """Take no more callers, finish what runs, and end."""
-        log.info("stopping: {} connections", len(self.front.links))
+        """Drain: refuse new connections, finish open requests, and close."""
+        log.info("stopping with {} open connections", len(self.front.links))
         self.front.stopping = True
         if self._fleet is not None:
             self._fleet.refuse_new()
-        await asyncio.sleep(READY_NOTICE)
+        await asyncio.sleep(UNREADY_NOTICE)
         self.front.stop_accepting()
-        left = self._options.stop_timeout - READY_NOTICE - STOP_MARGIN
-        drained = await self.front.drained(left, also=self._others_open)
-        await self._write_last()
-        log.info("stopped, all answered: {}", drained)
+        left = self._options.stop_timeout - UNREADY_NOTICE - STOP_RESERVE
+        drained = await self.front.drained(left, also=self._peer_turns_open)
+        await self._flush_records()
+        log.info("stopped, all requests answered: {}", drained)
         await self.close()
 
-    def _others_open(self) -> bool:
+    def _peer_turns_open(self) -> bool:
         return self._fleet is not None and self._fleet.open_turns > 0
 
-    async def _write_last(self) -> None:
-        """Write what is still queued, as far as the store takes it in time."""
+    async def _flush_records(self) -> None:
+        """Write queued records, within a part of the stop timeout."""
         try:
-            async with asyncio.timeout(STOP_MARGIN / 2):
+            async with asyncio.timeout(STOP_RESERVE / 2):
                 await self.ledger.flush()
                 if self._fleet is not None:
                     await self._fleet.leave()
         except TimeoutError:
-            log.warning("stopping with records that were not written")
+            log.warning("stopping before all records were written")
 
     async def close(self) -> None:
-        """End all parts at once."""
+        """Cancel all tasks and close all connections."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -276,7 +274,7 @@
         self.dispatcher.pool.close()
         await self.ledger.close()
 
-    async def _answer_ready(self, message: RequestMessage, reply: Reply) -> None:
+    async def _handle_ready(self, message: RequestMessage, reply: Reply) -> None:
         if message.target.split(b"?")[0] == METRICS_PATH:
             headers = [(b"Content-Type", b"text/plain")]
             await reply.whole(200, headers, self.metrics_text())
@@ -284,25 +282,25 @@
         await reply.whole(200 if self.ready else 503, [], b"")
 
     def metrics_text(self) -> bytes:
-        """Return all metrics as text."""
-        self._measure_state()
+        """Return all metrics in the Prometheus text format."""
+        self._update_gauges()
         return self._metrics.text()
 
     async def answer_peer(self, request: Request, send: Send) -> PeerReply:
-        """Answer another daemon."""
+        """Answer a request from another daemon."""
         if self._fleet is None:
             return failed("this process has no peers")
         return await self._fleet.answer(request, send)
 
-    def _place(self, name: str) -> int:
-        """Return this host's place among those of its data centre for a name."""
+    def _host_rank(self, name: str) -> int:
+        """Return this host's rank in its data centre for a name, 0 first."""
         return self._fleet.reports.place(name) if self._fleet is not None else 0
 
     def _longest_retention(self) -> float:
         routes = self.dispatcher.routes
         return routes.longest_retention if routes is not None else math.inf
 
-    def _measure_state(self) -> None:
+    def _update_gauges(self) -> None:
         routes = self.dispatcher.routes
         state = {
             "ready": float(self.ready),
@@ -315,9 +313,9 @@
         if self._fleet is not None:
             state["loans_lent"] = float(self._fleet.loans.lent)
             state["loans_refused"] = float(self._fleet.loans.refused)
-            self._metrics.shares(self._fleet.limiter.free())
+            self._metrics.set_shares(self._fleet.limiter.free())
         for name, value in state.items():
-            self._metrics.state(name, value)
+            self._metrics.set_state(name, value)
 
     def _apply_routes(self, routes: RouteTable) -> None:
         self.dispatcher.routes = routes
@@ -329,9 +327,9 @@
             body_bytes=limits.body_bytes,
             header_timeout=limits.header_timeout,
             idle_timeout=limits.idle_timeout,
-            held_bytes=int(self._options.memory_bytes * HELD_SHARE),
-            links=int(self._options.descriptors * LINKS_SHARE),
+            held_bytes=int(self._options.memory_bytes * BODY_MEMORY_SHARE),
+            links=int(self._options.descriptors * CALLER_LINKS_SHARE),
         )
 
-    def _forget(self, instance: InstanceId) -> None:
+    def _forget_target(self, instance: InstanceId) -> None:
         self.dispatcher.forget(instance)
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -1,4 +1,4 @@
-"""Choose targets and hold what all requests share."""
+"""Target selection and the state that all requests share."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from ..storage.relayed import Way
 from ..workspaces.access import Access
 from .calls import CallCodec, CallInfo
-from .load import LoadBoard
-from .pool import TargetPool
+from .load import LoadTracker
+from .pool import ConnectionPool
 
 
 class Dispatcher:
-    """Hold the targets, connections and load, and place requests."""
+    """Select targets by their load, health and cached prompt prefixes."""
 
     def __init__(
         self,
@@ -30,38 +30,38 @@
         codec: CallCodec,
         data_centre: DataCentre,
         targets: Targets,
-        engines: EnginePlacement,
+        engine_placement: EnginePlacement,
         memory: PrefixMemory,
-        plain: EnginePlacement,
+        service_placement: EnginePlacement,
         health: TargetHealth,
         access: Access,
         rng: random.Random,
     ) -> None:
         self.codec = codec
         self.access = access
-        self.pool = TargetPool()
-        self.load = LoadBoard(health=health)
+        self.pool = ConnectionPool()
+        self.load = LoadTracker(health=health)
         self.retries: RetryPolicy = RetryBudget()
         self.routes: RouteTable | None = None
-        self.targets_read: Callable[[], float] = lambda: 0.0
+        self.targets_read_at: Callable[[], float] = lambda: 0.0
         self.store_way: Callable[[], Way] = lambda: Way.DIRECT
         self._data_centre = data_centre
         self._targets = targets
-        self._engines = engines
+        self._engine_placement = engine_placement
         self._memory = memory
-        self._plain = plain
+        self._service_placement = service_placement
         self._urgency: Urgency = WorthUrgency()
         self._starts: StartPolicy = WaitByAim(rng=rng)
         self._rng = rng
-        # Requests on connections that a target still holds would be lost with it.
-        # On new ones they go on to the next target if it does not answer.
+        # Requests on pooled connections to an unhealthy target would be lost. If a
+        # new connection fails, the request moves on to the next target.
         health.passed_over = self.pool.forget
 
     def choose(
         self, route: Route, info: CallInfo, tried: set[InstanceId]
     ) -> tuple[TargetEntry | None, str]:
-        """Return the target for a request among those not yet tried, and why."""
-        service = self._service(route)
+        """Return an untried target for a request and the reason for the choice."""
+        service = self._pick_service(route)
         entries = [
             entry
             for entry in self._targets.of(service)
@@ -69,59 +69,61 @@
         ]
         if not entries:
             return None, ""
-        choices = [self._choice(entry) for entry in entries]
-        policy = self._engines if route.sticky else self._plain
-        instance, reason = policy.choose(_shape(info), choices)
+        choices = [self._engine_choice(entry) for entry in entries]
+        policy = self._engine_placement if route.sticky else self._service_placement
+        instance, reason = policy.choose(_prompt_shape(info), choices)
         chosen = next(entry for entry in entries if entry.incarnation == instance)
         return chosen, reason
 
-    def refuse_start(self, route: Route, info: CallInfo) -> float | None:
-        """Return when a new program should come back; None to let it start."""
-        service = self._service(route)
-        waits = [self.load.wait(one.incarnation) for one in self._targets.of(service)]
+    def start_retry_after(self, route: Route, info: CallInfo) -> float | None:
+        """Return the retry delay for a new program, or None to admit it."""
+        service = self._pick_service(route)
+        waits = [
+            self.load.expected_wait(one.incarnation)
+            for one in self._targets.of(service)
+        ]
         if not waits:
             return None
         start = Start(
-            wait=max(min(waits), self.load.usual),
+            wait=max(min(waits), self.load.lower_quartile_wait),
             left=info.program_deadline,
             latency_target=route.latency_target,
         )
         return self._starts.refuse(start)
 
-    def sent(
+    def request_sent(
         self, entry: TargetEntry, route: Route, info: CallInfo, request: object
     ) -> None:
-        """Note that a target owes a request its answer, or the first event of it."""
+        """Start tracking when the first event or response of a request is due."""
         if not route.sticky:
             within = patience(route.latency_target)
-            self.load.expects(entry.incarnation, request, within)
+            self.load.expect_within(entry.incarnation, request, within)
             return
-        shape = _shape(info)
-        reading = self._memory.reading(entry.incarnation, shape)
+        shape = _prompt_shape(info)
+        prefill_time = self._memory.reading(entry.incarnation, shape)
         self._memory.note(entry.incarnation, shape)
-        self.load.awaits_first(entry.incarnation, request, reading)
-        within = reading + first_event_due(route.latency_target, self.load.longest)
-        self.load.expects(entry.incarnation, request, within)
+        self.load.track_first_event(entry.incarnation, request, prefill_time)
+        within = prefill_time + first_event_due(
+            route.latency_target, self.load.longest_wait
+        )
+        self.load.expect_within(entry.incarnation, request, within)
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget what was learned of a target that has left.
-
-        Instances come and go for as long as the process runs.
-        """
+        """Discard all state of a target that has left."""
         self.load.forget(instance)
         self.pool.forget(instance)
         self._memory.forget(instance)
 
-    def store_reached(self) -> bool:
-        """Return whether the store served this process lately, by any way."""
+    def store_reachable(self) -> bool:
+        """Return whether the store is reachable, directly or through a peer."""
         return self.store_way() is not Way.NONE
 
     def targets_age(self) -> float:
-        """Return the seconds since the list of targets was read."""
-        return asyncio.get_running_loop().time() - self.targets_read()
+        """Return the age of the target list, in seconds."""
+        return asyncio.get_running_loop().time() - self.targets_read_at()
 
     def event_tokens(self, service: ServiceName) -> int:
-        """Return the tokens in each event of a service's streams."""
+        """Return the number of tokens in each stream event of a service."""
         found = self.routes.services.get(service) if self.routes else None
         if found is None or found.engine is None:
             return 1
@@ -130,30 +132,30 @@
     def urgency(
         self, route: Route, info: CallInfo, rank: int, spent: float
     ) -> int | None:
-        """Return the urgency of a request at an engine; None for others."""
+        """Return the urgency of a request to an engine; None for other services."""
         if not route.sticky:
             return None
         standing = ProgramStanding(rank=rank, left=info.program_deadline, spent=spent)
         return self._urgency.of(standing)
 
-    def _service(self, route: Route) -> ServiceName:
+    def _pick_service(self, route: Route) -> ServiceName:
         if len(route.services) == 1:
             return route.services[0].service
         weights = [share.weight for share in route.services]
         return self._rng.choices(route.services, weights)[0].service
 
-    def _choice(self, entry: TargetEntry) -> EngineChoice:
+    def _engine_choice(self, entry: TargetEntry) -> EngineChoice:
         return EngineChoice(
             instance=entry.incarnation,
             slots=max(1, entry.slots),
             running=self.load.running(entry.incarnation),
-            wait=self.load.wait(entry.incarnation),
-            failing=self.load.failing(entry.incarnation),
+            wait=self.load.expected_wait(entry.incarnation),
+            failing=self.load.failure_rate(entry.incarnation),
             near=entry.data_centre == self._data_centre,
         )
 
 
-def _shape(info: CallInfo) -> PromptShape:
+def _prompt_shape(info: CallInfo) -> PromptShape:
     parts = tuple((one.part, one.tokens) for one in info.prefix)
     last = parts[-1][0] if parts else ""
     return PromptShape(parts=parts, owner=info.program or last)
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -1,4 +1,4 @@
-"""Carry one request to a target and its answer back."""
+"""Proxy one request to a target and its response back to the caller."""
 
 from __future__ import annotations
 
@@ -18,27 +18,26 @@
 from ..workspaces.access import Caller
 from ..workspaces.directory import scoped
 from ..workspaces.quotas import Credit, Quotas
-from .attempts import Attempts, Running
+from .attempts import Attempts, TargetResponse
 from .calls import CallInfo
 from .dispatcher import Dispatcher
 
-# Seconds after which to come back when neither this process nor a peer reaches
-# the store. Such an outage takes seconds; callers who come back sooner use up
-# their tries before it ends.
-STORE_RETRY = 1.0
-# Another process returns what it doesn't use of a budget within a second.
-HELD_RETRY = 0.5
-# A turn may end so much after its deadline and still tell its end. Seconds.
-TURN_MARGIN = 2.0
-# A turn that names no budget is kept like any other. Tokens, beyond all programs.
-NO_BUDGET = 2**52
-BODY_LIMIT = 16 * 1024 * 1024
+# Seconds after which to retry while the store is unreachable, directly and through
+# peers. With a shorter delay callers would use up their retries during the outage.
+STORE_RETRY_AFTER = 1.0
+# Seconds; another process returns unused tokens of a budget within a second.
+HELD_RETRY_AFTER = 0.5
+# Seconds after its deadline in which a turn can still report its end.
+TURN_LIFETIME_MARGIN = 2.0
+# Tokens; the budget of retained turns whose request sets none.
+UNLIMITED_BUDGET = 2**52
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 OK = 200
 REDIRECT = 300
 
 
 class Exchange:
-    """Carry one request; whatever happens, its target is let go at the end."""
+    """Serve one request, and always release its target at the end."""
 
     def __init__(
         self,
@@ -56,7 +55,7 @@
         metrics: RequestMetrics,
     ) -> None:
         self._metrics = metrics
-        # Equal ids of two workspaces are two programs.
+        # Program ids are unique only within a workspace.
         self._program = scoped(caller.workspace, info.program)
         self._started = asyncio.get_running_loop().time()
         self._message = message
@@ -80,12 +79,12 @@
         )
 
     @property
-    def trail(self) -> list[str]:
-        """Return what was decided, in order."""
-        return self._attempts.trail
+    def steps(self) -> list[str]:
+        """Return the routing decisions so far, for the request log."""
+        return self._attempts.steps
 
     async def run(self) -> None:
-        """Answer the request; raises FailureError before an answer started."""
+        """Answer the request; raises FailureError if no target completes it."""
         try:
             await self._run()
         finally:
@@ -93,32 +92,32 @@
 
     async def _run(self) -> None:
         if self._route.kind is not RouteKind.STREAM:
-            await self._plain()
+            await self._forward_whole()
         elif self._info.budget is not None:
-            await self._turn(self._info.budget)
+            await self._run_turn(self._info.budget)
         elif self._route.retained:
-            await self._turn(NO_BUDGET)
+            await self._run_turn(UNLIMITED_BUDGET)
         else:
-            await self._stream(None)
+            await self._forward_stream(None)
 
-    async def _turn(self, budget: int) -> None:
-        """Run a turn of a program inside its budget."""
+    async def _run_turn(self, budget: int) -> None:
+        """Run a turn of a program within its token budget."""
         await self._check_start()
         turn = await self._open_turn(budget)
-        self.trail.append(f"spent {turn.spent} of {budget} tokens, kept {turn.where}")
-        self._attempts.spent = turn.spent / max(1, budget)
+        self.steps.append(f"spent {turn.spent} of {budget} tokens, kept {turn.where}")
+        self._attempts.budget_used = turn.spent / max(1, budget)
         self._credit.begins = turn.spent == 0 and turn.history is None
         if turn.history is not None:
             self._attempts.body = turn.history.prompt + self._message.body
-            self.trail.append(f"history of {len(turn.history.prompt)} bytes")
+            self.steps.append(f"history of {len(turn.history.prompt)} bytes")
         output = _TurnOutput(turn=turn)
         try:
-            await self._stream(output)
+            await self._forward_stream(output)
         finally:
             output.close()
 
     async def _open_turn(self, budget: int) -> OpenTurn:
-        """Reserve the turn and find what it continues, or say why not."""
+        """Reserve tokens for the turn and load its history; raises FailureError."""
         route, info = self._route, self._info
         workspace = self._caller.workspace
         left = self._deadline - asyncio.get_running_loop().time()
@@ -133,7 +132,7 @@
             ),
             previous=info.previous and scoped(workspace, info.previous),
             kept=route.retained,
-            lifetime=left + TURN_MARGIN,
+            lifetime=left + TURN_LIFETIME_MARGIN,
         )
         opened = await self._turns.open(start)
         if isinstance(opened, Lookup | BudgetVerdict):
@@ -141,203 +140,211 @@
         return opened
 
     async def _check_start(self) -> None:
-        """Refuse the first request of a program while engines are full."""
+        """Refuse the first request of a new program while all engines are full."""
         info = self._info
         if info.previous is not None:
             return
-        retry_after = self._dispatcher.refuse_start(self._route, info)
+        retry_after = self._dispatcher.start_retry_after(self._route, info)
         if retry_after is None or await self._ledger.knows_program(self._program):
             return
         raise fail(
             ErrorKind.OVERLOADED, "all engines are full", retry_after=retry_after
         )
 
-    async def _plain(self) -> None:
-        """Pass on an answer once it is whole."""
+    async def _forward_whole(self) -> None:
+        """Forward a response once it is complete, and retry it where allowed."""
         self._dispatcher.retries.began()
         while True:
             try:
-                async with asyncio.timeout(self._patience()):
-                    running, body = await self._whole_answer()
+                async with asyncio.timeout(self._retry_timeout()):
+                    response, body = await self._whole_response()
             except LinkError as error:
                 self._check_retry(error)
                 continue
             except TimeoutError:
                 self._check_retry(LinkError(LinkFault.TIMEOUT, sent=True))
                 continue
-            head = running.head
+            head = response.head
             await self._reply.whole(
-                head.status, running.answer.headers, body, head.reason
+                head.status, response.answer.headers, body, head.reason
             )
             return
 
-    def _patience(self) -> float | None:
-        """Return the seconds to wait before another target is asked, if any.
+    def _retry_timeout(self) -> float | None:
+        """Return the timeout of an attempt, in seconds, or None if it is the last.
 
-        A target can lose an answer and keep the connection open. Without this
-        the caller of an idempotent request waits until its deadline.
+        Covers idempotent requests whose response is lost while the connection
+        stays open.
         """
-        if self._route.kind is not RouteKind.SAFE or self._attempts.last:
+        if self._route.kind is not RouteKind.SAFE or self._attempts.is_last:
             return None
         return patience(self._route.latency_target)
 
-    async def _whole_answer(self) -> tuple[Running, bytes]:
-        running = await self._attempts.open()
-        whole = False
+    async def _whole_response(self) -> tuple[TargetResponse, bytes]:
+        response = await self._attempts.open()
+        complete = False
         try:
-            body = await self._whole_body(running)
-            whole = True
+            body = await self._read_body(response)
+            complete = True
         except LinkError:
-            self._attempts.broke(running)
+            self._attempts.response_broken(response)
             raise
         finally:
-            self._attempts.close(running, whole=whole)
-        return running, body
+            self._attempts.close(response, complete=complete)
+        return response, body
 
-    async def _whole_body(self, running: Running) -> bytes:
+    async def _read_body(self, response: TargetResponse) -> bytes:
         body = bytearray()
-        while (part := await running.link.body_part()) is not None:
+        while (part := await response.link.body_part()) is not None:
             body += part
-            if len(body) > BODY_LIMIT:
-                raise fail(ErrorKind.TARGET_FAILED, "the answer is too large")
+            if len(body) > MAX_RESPONSE_BYTES:
+                raise fail(ErrorKind.TARGET_FAILED, "the response is too large")
         return bytes(body)
 
     def _check_retry(self, error: LinkError) -> None:
-        """Return if the request may be sent again after a broken answer."""
+        """Raise FailureError unless a request with a broken response may be retried."""
         if not self._attempts.may_repeat(error):
             raise fail(ErrorKind.INTERRUPTED, str(error)) from error
 
-    async def _stream(self, output: _TurnOutput | None) -> None:
-        """Pass events on as they come."""
-        running = await self._attempts.open()
-        whole = False
+    async def _forward_stream(self, output: _TurnOutput | None) -> None:
+        """Forward a stream of events as they arrive."""
+        response = await self._attempts.open()
+        complete = False
         try:
-            if not OK <= running.head.status < REDIRECT:
-                body = await self._whole_body(running)
-                whole = True
-                head = running.head
-                headers = running.answer.headers
+            if not OK <= response.head.status < REDIRECT:
+                body = await self._read_body(response)
+                complete = True
+                head = response.head
+                headers = response.answer.headers
                 await self._reply.whole(head.status, headers, body, head.reason)
                 return
-            whole = await self._relay(running, output)
+            complete = await self._relay(response, output)
         except LinkError as error:
-            self._attempts.broke(running)
-            self.trail.append(f"broken:{error.fault.name}")
+            self._attempts.response_broken(response)
+            self.steps.append(f"broken:{error.fault.name}")
             if not self._reply.started:
                 raise fail(ErrorKind.INTERRUPTED, str(error)) from error
             self._reply.abort()
         finally:
-            self._attempts.close(running, whole=whole)
+            self._attempts.close(response, complete=complete)
 
-    async def _relay(self, running: Running, output: _TurnOutput | None) -> bool:
-        """Relay a stream; return whether it was whole."""
+    async def _relay(
+        self, response: TargetResponse, output: _TurnOutput | None
+    ) -> bool:
+        """Relay a stream and return True; raises LinkError or FailureError."""
         if output is not None and self._route.retained:
             output.turn.announce()
         splitter = EventSplitter()
-        while (part := await self._attempts.next_part(running)) is not None:
+        while (part := await self._attempts.next_part(response)) is not None:
             for event in splitter.feed(part):
-                await self._pass_on(running, output, event)
+                await self._forward_event(response, output, event)
         if splitter.pending:
             raise fail(ErrorKind.INTERRUPTED, "the stream ended inside an event")
         if output is not None:
             if not output.produced:
-                await self._confirm(output)
+                await self._confirm_budget(output)
             if self._route.retained:
                 await self._commit(output)
         if not self._reply.started:
-            await self._start(running)
+            await self._start_reply(response)
         await self._reply.end()
         return True
 
-    async def _pass_on(
-        self, running: Running, output: _TurnOutput | None, event: bytes
+    async def _forward_event(
+        self, response: TargetResponse, output: _TurnOutput | None, event: bytes
     ) -> None:
         if not self._reply.started:
-            self._attempts.got_first(running)
+            self._attempts.first_event_received(response)
             now = asyncio.get_running_loop().time()
-            self._metrics.first_event(self._route.name, now - self._started)
+            self._metrics.observe_first_event(self._route.name, now - self._started)
         if output is not None:
             if not self._reply.started:
-                await self._confirm(output)
-            tokens = self._dispatcher.event_tokens(running.target.service)
-            if not await output.hand_out(tokens):
-                self.trail.append("budget: what the turn holds is used up")
+                await self._confirm_budget(output)
+            tokens = self._dispatcher.event_tokens(response.target.service)
+            if not await output.spend(tokens):
+                self.steps.append("budget: the turn's reserved tokens are used up")
                 raise fail(ErrorKind.INTERRUPTED, "the budget is used up")
             output.produced.append(event_data(event) + b"\n")
         if not self._reply.started:
-            await self._start(running)
+            await self._start_reply(response)
         await self._reply.part(event)
 
-    async def _confirm(self, output: _TurnOutput) -> None:
-        """Let the first event out only when its tokens are durably reserved."""
+    async def _confirm_budget(self, output: _TurnOutput) -> None:
+        """Wait until tokens are durably reserved, before the first event is sent."""
         verdict = await output.turn.verdict()
         if verdict is not BudgetVerdict.FITS:
-            self.trail.append(f"budget:{verdict.value}")
+            self.steps.append(f"budget:{verdict.value}")
             raise fail(ErrorKind.INTERRUPTED, f"the budget is {verdict.value}")
 
     async def _commit(self, output: _TurnOutput) -> None:
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         await output.commit(self._message.body)
-        taken = asyncio.get_running_loop().time() - begun
-        self._metrics.committed(taken)
-        self.trail.append(f"committed in {taken * 1000:.1f} ms")
+        taken = asyncio.get_running_loop().time() - started_at
+        self._metrics.observe_commit(taken)
+        self.steps.append(f"committed in {taken * 1000:.1f} ms")
 
-    async def _start(self, running: Running) -> None:
-        head = running.head
+    async def _start_reply(self, response: TargetResponse) -> None:
+        head = response.head
         await self._reply.start(
             ResponseHead(
-                status=head.status, reason=head.reason, headers=running.answer.headers
+                status=head.status, reason=head.reason, headers=response.answer.headers
             )
         )
 
 
 class _TurnOutput:
-    """Collect what a turn hands out, and have its tokens covered before that."""
+    """Collect the output of a turn, and reserve its tokens before it is sent."""
 
     def __init__(self, *, turn: OpenTurn) -> None:
         self.turn = turn
         self.produced: list[bytes] = []
-        self._asking: asyncio.Task[bool] | None = None
+        self._pending_cover: asyncio.Task[bool] | None = None
 
-    async def hand_out(self, tokens: int) -> bool:
-        """Count tokens that go to the caller; False if they are not covered.
+    async def spend(self, tokens: int) -> bool:
+        """Count tokens sent to the caller; return False if they aren't reserved.
 
-        More is asked for beside the stream, one event before it is needed, so
-        that no event waits for the log.
+        More tokens are requested in the background one event ahead, so that events
+        don't wait for the log.
         """
-        asked, self._asking = self._asking, None
-        covered = await asked if asked is not None else await self.turn.cover(tokens)
+        pending, self._pending_cover = self._pending_cover, None
+        covered = (
+            await pending if pending is not None else await self.turn.cover(tokens)
+        )
         if not covered:
             return False
         self.turn.hand_out(tokens)
         if not self.turn.covers(tokens):
-            self._asking = asyncio.create_task(self.turn.cover(tokens))
+            self._pending_cover = asyncio.create_task(self.turn.cover(tokens))
         return True
 
     async def commit(self, given: bytes) -> None:
-        """Make the turn part of the history; return once that is durable."""
-        # A request for more that outlives the turn finds it ended, and the delegate
-        # would be taken for lost. The stream has ended, so nothing asks anew.
-        asking, self._asking = self._asking, None
-        if asking is not None:
-            asking.cancel()
-            await asyncio.wait([asking])
+        """Append the turn to the history; return once it is durable."""
+        # A reservation that is still pending would find the turn closed and report
+        # its delegate as lost. It isn't needed once the stream has ended.
+        pending, self._pending_cover = self._pending_cover, None
+        if pending is not None:
+            pending.cancel()
+            await asyncio.wait([pending])
         await self.turn.commit(given, b"".join(self.produced))
 
     def close(self) -> None:
-        """Return what the turn did not use."""
-        if self._asking is not None:
-            self._asking.cancel()
+        """Release the unused tokens of the turn."""
+        if self._pending_cover is not None:
+            self._pending_cover.cancel()
         self.turn.close()
 
 
 def _turn_failure(refusal: TurnRefusal, previous: TurnId | None) -> FailureError:
     if refusal is BudgetVerdict.EXCEEDED:
-        return fail(ErrorKind.BUDGET_EXHAUSTED, "the budget of the program is spent")
+        return fail(ErrorKind.BUDGET_EXHAUSTED, "the budget of the program is used up")
     if refusal is Lookup.ABSENT:
         return fail(ErrorKind.NOT_FOUND, f"no turn {previous}")
     if isinstance(refusal, Lookup):
-        return fail(ErrorKind.LOG_UNAVAILABLE, refusal.value, retry_after=STORE_RETRY)
-    retry_after = HELD_RETRY if refusal is BudgetVerdict.HELD else STORE_RETRY
+        return fail(
+            ErrorKind.LOG_UNAVAILABLE, refusal.value, retry_after=STORE_RETRY_AFTER
+        )
+    retry_after = (
+        HELD_RETRY_AFTER if refusal is BudgetVerdict.HELD else STORE_RETRY_AFTER
+    )
     reason = f"the budget is {refusal.value}"
     return fail(ErrorKind.LOG_UNAVAILABLE, reason, retry_after=retry_after)
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -1,4 +1,4 @@
-"""Answer each request of callers, or say why not."""
+"""Handle callers' requests and log their outcome."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 log = logbook.Logger("request")
 
-# What the way from the caller takes: its deadline began that much earlier.
-CALLER_DELAY = 0.004
+# Assumed network delay from the caller, in seconds; its deadline runs since then.
+CALLER_LATENCY = 0.004
 CALLER_LEFT = "caller left"
 UNROUTED = "none"
 
 
 @dataclass(kw_only=True, eq=False)
-class _Request:
-    """Hold what is known of one request for its line in the log."""
+class _RequestState:
+    """State of one request, for its log line."""
 
     started: float
     info: CallInfo | None = None
@@ -43,11 +43,11 @@
     exchange: Exchange | None = None
     outcome: str = "answered"
     reason: str = ""
-    trail: list[str] = field(default_factory=list)
+    steps: list[str] = field(default_factory=list)
 
 
 class RequestHandler:
-    """Route requests, turn failures into answers, and log what decided."""
+    """Route requests, answer failures with errors, and log each request."""
 
     def __init__(
         self,
@@ -67,30 +67,30 @@
         self._events = events
 
     async def handle(self, message: RequestMessage, reply: Reply) -> None:
-        """Answer one request."""
-        request = _Request(started=asyncio.get_running_loop().time())
+        """Handle one request, and log it however it ends."""
+        request = _RequestState(started=asyncio.get_running_loop().time())
         try:
             await self._serve(message, request, reply)
         except FailureError as error:
-            await self._refuse(request, reply, error.failure)
+            await self._send_failure(request, reply, error.failure)
         except (ClientGone, asyncio.CancelledError):
             request.outcome = CALLER_LEFT
             raise
         except Exception as error:
-            log.exception("a request failed")
+            log.exception("unhandled exception in a request")
             failure = Failure(kind=ErrorKind.INTERNAL, reason=repr(error))
-            await self._refuse(request, reply, failure)
+            await self._send_failure(request, reply, failure)
         finally:
-            self._record(request, reply)
+            self._log_request(request, reply)
 
     def _read(self, message: RequestMessage) -> CallInfo:
         try:
-            return self._dispatcher.codec.read(message)
+            return self._dispatcher.codec.read_request(message)
         except ValueError as error:
             raise fail(ErrorKind.MALFORMED, str(error)) from None
 
     async def _serve(
-        self, message: RequestMessage, request: _Request, reply: Reply
+        self, message: RequestMessage, request: _RequestState, reply: Reply
     ) -> None:
         info = request.info = self._read(message)
         routes = request.routes = self._dispatcher.routes
@@ -98,12 +98,12 @@
             raise fail(ErrorKind.STARTING, "the configuration was not yet read")
         route = request.route = routes.match(info.host, info.path)
         if route is None:
-            raise fail(ErrorKind.NOT_FOUND, "no route")
+            raise fail(ErrorKind.NOT_FOUND, "no route matches the host and path")
         caller = self._dispatcher.access.identify(info.key_text, public=route.public)
         request.caller = caller
         limit = route.timeout
         if info.deadline is not None:
-            limit = min(limit, info.deadline - CALLER_DELAY)
+            limit = min(limit, info.deadline - CALLER_LATENCY)
         deadline = request.started + limit
         exchange = request.exchange = Exchange(
             message=message,
@@ -125,10 +125,12 @@
             reason = f"no answer in {limit:.3f} s"
             raise fail(ErrorKind.DEADLINE_EXCEEDED, reason) from None
 
-    async def _refuse(self, request: _Request, reply: Reply, failure: Failure) -> None:
+    async def _send_failure(
+        self, request: _RequestState, reply: Reply, failure: Failure
+    ) -> None:
         request.outcome = failure.kind.value
         request.reason = failure.reason
-        self._metrics.failed(failure.kind.value)
+        self._metrics.count_failure(failure.kind.value)
         if reply.started:
             reply.abort()
             return
@@ -146,11 +148,11 @@
         except ClientGone:
             request.outcome = CALLER_LEFT
 
-    def _record(self, request: _Request, reply: Reply) -> None:
-        """Write the one line that explains the request, and count it."""
+    def _log_request(self, request: _RequestState, reply: Reply) -> None:
+        """Count the request and write its log line."""
         now = asyncio.get_running_loop().time()
         route = request.route.name if request.route else UNROUTED
-        self._metrics.answered(route, reply.status, now - request.started)
+        self._metrics.count_answer(route, reply.status, now - request.started)
         if self._events is None:
             return
         info = request.info
@@ -170,5 +172,5 @@
             outcome=request.outcome,
             reason=request.reason,
             milliseconds=round((now - request.started) * 1000, 1),
-            steps=request.exchange.trail if request.exchange else [],
+            steps=request.exchange.steps if request.exchange else [],
         )
--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -10,185 +10,192 @@
 from ..ids import InstanceId
 from ..policies.health import TargetHealth
 
-# The weight of a new observation. With about five answers a second from each
-# engine the estimate follows the load within half a second.
+# Weight of a new observation in the moving average of waits.
 SMOOTHING = 0.3
-# An estimate that nothing confirms falls to half in this time: other processes
-# move away too, and a target that is never tried is never seen to be free.
-HALF_LIFE = 0.6
-# What an idle engine takes to its first event beyond reading the prompt; the
-# least seen is used once there is one. Seconds.
-FIRST_GUESS = 0.06
-# Waits of the last answers of all targets tell whether all of them are full. Of the
-# waits at single ones the shortest is the one that was not confirmed for longest:
-# with many targets and few answers it says little. Seconds, and answers.
-RECENT_SECONDS = 0.6
-RECENT_LEAST = 4
-RECENT_MOST = 32
-# For how long a long wait says that targets have queues. Seconds.
-LONGEST_HALF_LIFE = 3.0
-# Targets are judged by what they owe so often: a part of the shortest pause that
-# routes allow. Seconds.
-SILENCE_CHECK = 0.05
+# Seconds. Estimates decay without new observations, as a target that gets no
+# requests would otherwise never be seen to be free.
+WAIT_HALF_LIFE = 0.6
+# Seconds from the end of prefill to the first event on an idle engine, until a
+# lower value has been observed.
+INITIAL_IDLE_LATENCY = 0.06
+# The window, in seconds, and the number of recent waits that tell whether all
+# targets are full. The shortest estimate of a single target doesn't: with many
+# targets and few responses it is the one that has decayed most.
+RECENT_WINDOW = 0.6
+MIN_RECENT_WAITS = 4
+MAX_RECENT_WAITS = 32
+# Seconds.
+LONGEST_WAIT_HALF_LIFE = 3.0
+# Seconds; well below the shortest pause between events that routes allow.
+SILENCE_CHECK_INTERVAL = 0.05
 
 
 @dataclass(kw_only=True)
-class _Instance:
+class _TargetLoad:
+    """Requests at one target and the moving average of their waits.
+
+    `prefilled_at` holds by request when its prefill is expected to end, and
+    `deadlines` when its next data is due.
+    """
+
     running: int = 0
     wait: float = 0.0
-    seen: float = 0.0
-    waiting: dict[object, float] = field(default_factory=dict)
-    due: dict[object, float] = field(default_factory=dict)
-    gone: bool = False
+    wait_at: float = 0.0
+    prefilled_at: dict[object, float] = field(default_factory=dict)
+    deadlines: dict[object, float] = field(default_factory=dict)
+    removed: bool = False
 
 
-class LoadBoard:
-    """Learn the load of each target from the answers of this process.
+class LoadTracker:
+    """Estimate queueing delays at targets from the responses to this process.
 
-    Load reports lag and cost a call each, and every process sees only its own
-    share of the requests. How long the first event of an answer took beyond
-    what an idle engine needs tells what the others have queued there.
+    The time to the first event of a response, less that of an idle engine, shows
+    what all processes have queued at the target. Load reports would lag and cost
+    an extra call each.
     """
 
     def __init__(self, *, health: TargetHealth) -> None:
         self._health = health
-        # Called with what others should know of a target.
+        # Called with a target and whether it works, when peers should be told.
         self.report: Callable[[InstanceId, bool], None] = lambda instance, ok: None
-        self._instances: dict[InstanceId, _Instance] = defaultdict(_Instance)
-        self._least = FIRST_GUESS
-        self._longest = 0.0
-        self._longest_seen = 0.0
-        # When a first event came, and how long it had waited.
-        self._recent: deque[tuple[float, float]] = deque(maxlen=RECENT_MOST)
-
-    def started(self, instance: InstanceId) -> None:
-        """Count a request that was sent."""
+        self._loads: dict[InstanceId, _TargetLoad] = defaultdict(_TargetLoad)
+        self._idle_latency = INITIAL_IDLE_LATENCY
+        self._longest_wait = 0.0
+        self._longest_wait_at = 0.0
+        # Times of first events, with the wait of each.
+        self._recent_waits: deque[tuple[float, float]] = deque(maxlen=MAX_RECENT_WAITS)
+
+    def request_started(self, instance: InstanceId) -> None:
+        """Count a request to a target as running."""
         self._health.sent(instance, asyncio.get_running_loop().time())
-        self._instances[instance].running += 1
+        self._loads[instance].running += 1
 
-    def ended(self, instance: InstanceId) -> None:
-        """Count a request no longer."""
-        found = self._instances[instance]
-        found.running -= 1
-        if found.gone and not found.running:
-            del self._instances[instance]
+    def request_ended(self, instance: InstanceId) -> None:
+        """Count a request as ended."""
+        load = self._loads[instance]
+        load.running -= 1
+        if load.removed and not load.running:
+            del self._loads[instance]
 
-    def awaits_first(
-        self, instance: InstanceId, request: object, reading: float
+    def track_first_event(
+        self, instance: InstanceId, request: object, prefill_time: float
     ) -> None:
-        """Note that a request waits; `reading` is the time for its prompt."""
+        """Start measuring a request's wait after `prefill_time` seconds of prefill."""
         now = asyncio.get_running_loop().time()
-        self._instances[instance].waiting[request] = now + reading
+        self._loads[instance].prefilled_at[request] = now + prefill_time
 
-    def expects(self, instance: InstanceId, request: object, within: float) -> None:
-        """Note that a target owes something for a request, within some seconds."""
+    def expect_within(
+        self, instance: InstanceId, request: object, within: float
+    ) -> None:
+        """Set the deadline, in seconds from now, for the next data of a request."""
         now = asyncio.get_running_loop().time()
-        self._instances[instance].due[request] = now + within
+        self._loads[instance].deadlines[request] = now + within
 
     @property
-    def longest(self) -> float:
-        """Return the longest wait for a first event of late, at any target, in s."""
+    def longest_wait(self) -> float:
+        """Return the longest wait for a first event, decayed, in seconds."""
         now = asyncio.get_running_loop().time()
-        faded: float = 0.5 ** ((now - self._longest_seen) / LONGEST_HALF_LIFE)
-        return self._longest * faded
+        decay: float = 0.5 ** ((now - self._longest_wait_at) / LONGEST_WAIT_HALF_LIFE)
+        return self._longest_wait * decay
 
     @property
-    def usual(self) -> float:
-        """Return what three in four answers of late waited at least, in seconds."""
-        since = asyncio.get_running_loop().time() - RECENT_SECONDS
-        waits = sorted(wait for seen, wait in self._recent if seen >= since)
-        return waits[len(waits) // 4] if len(waits) >= RECENT_LEAST else 0.0
-
-    def heard(self, instance: InstanceId, request: object) -> None:
-        """Note that a target sent what it owed for a request."""
-        self._instances[instance].due.pop(request, None)
+    def lower_quartile_wait(self) -> float:
+        """Return the lower quartile of recent waits at all targets, in seconds."""
+        since = asyncio.get_running_loop().time() - RECENT_WINDOW
+        waits = sorted(wait for at, wait in self._recent_waits if at >= since)
+        return waits[len(waits) // 4] if len(waits) >= MIN_RECENT_WAITS else 0.0
+
+    def data_received(self, instance: InstanceId, request: object) -> None:
+        """Clear the deadline of a request whose target has sent data."""
+        self._loads[instance].deadlines.pop(request, None)
         self._health.heard(instance, asyncio.get_running_loop().time())
 
     async def watch(self) -> None:
-        """Judge targets that owe something for too long, again and again.
+        """Report targets with overdue data as failed, periodically.
 
-        A target that falls silent keeps its connections. Each host learned that
-        from requests that ended at their callers' deadlines, two seconds later,
-        and sent others there meanwhile.
+        A target that stops responding may keep its connections open, so that
+        otherwise only the callers' deadlines would reveal it.
         """
         loop = asyncio.get_running_loop()
         while True:
-            begun = loop.time()
-            await asyncio.sleep(SILENCE_CHECK)
-            # While this process stood still it could not hear anything.
-            self._judge_silent(loop.time() - begun - SILENCE_CHECK)
+            started_at = loop.time()
+            await asyncio.sleep(SILENCE_CHECK_INTERVAL)
+            # The lag is time in which this process could not receive anything.
+            self._report_silent(loop.time() - started_at - SILENCE_CHECK_INTERVAL)
 
-    def _judge_silent(self, lag: float) -> None:
+    def _report_silent(self, lag: float) -> None:
         now = asyncio.get_running_loop().time()
-        for instance, found in list(self._instances.items()):
-            if lag > SILENCE_CHECK:
-                found.due = {one: due + lag for one, due in found.due.items()}
-            late = [request for request, due in found.due.items() if due < now]
-            for request in late:
-                del found.due[request]
-            if late:
-                self.judged(instance, ok=False)
-
-    def got_first(self, instance: InstanceId, request: object) -> None:
-        """Learn from the first event of an answer."""
-        found = self._instances[instance]
-        begun = found.waiting.pop(request, None)
-        if begun is None:
+        for instance, load in list(self._loads.items()):
+            if lag > SILENCE_CHECK_INTERVAL:
+                load.deadlines = {
+                    request: due + lag for request, due in load.deadlines.items()
+                }
+            overdue = [request for request, due in load.deadlines.items() if due < now]
+            for request in overdue:
+                del load.deadlines[request]
+            if overdue:
+                self.record_result(instance, ok=False)
+
+    def first_event_received(self, instance: InstanceId, request: object) -> None:
+        """Update the wait estimates by the first event of a response."""
+        load = self._loads[instance]
+        started_at = load.prefilled_at.pop(request, None)
+        if started_at is None:
             return
         now = asyncio.get_running_loop().time()
-        taken = max(0.0, now - begun)
-        self._least = min(self._least, taken)
-        excess = taken - self._least
-        self._recent.append((now, excess))
-        self._longest = max(self.longest, excess)
-        self._longest_seen = now
-        before = self._faded(found, now)
-        found.wait = before + SMOOTHING * (excess - before)
-        found.seen = now
-
-    def gave_up(self, instance: InstanceId, request: object) -> None:
-        """Forget a request that ended, with or without an event."""
-        found = self._instances[instance]
-        found.waiting.pop(request, None)
-        found.due.pop(request, None)
-
-    def judged(self, instance: InstanceId, *, ok: bool) -> None:
-        """Learn whether a target answered a request soundly."""
+        latency = max(0.0, now - started_at)
+        self._idle_latency = min(self._idle_latency, latency)
+        wait = latency - self._idle_latency
+        self._recent_waits.append((now, wait))
+        self._longest_wait = max(self.longest_wait, wait)
+        self._longest_wait_at = now
+        previous = self._decayed_wait(load, now)
+        load.wait = previous + SMOOTHING * (wait - previous)
+        load.wait_at = now
+
+    def discard(self, instance: InstanceId, request: object) -> None:
+        """Stop tracking a request that has ended."""
+        load = self._loads[instance]
+        load.prefilled_at.pop(request, None)
+        load.deadlines.pop(request, None)
+
+    def record_result(self, instance: InstanceId, *, ok: bool) -> None:
+        """Record whether a target answered a request without failure."""
         now = asyncio.get_running_loop().time()
         if ok:
             self._health.heard(instance, now)
-        judge = self._health.served if ok else self._health.failed
-        if judge(instance, now):
+        report_due = self._health.served if ok else self._health.failed
+        if report_due(instance, now):
             self.report(instance, ok)
 
-    def failing(self, instance: InstanceId) -> float:
-        """Return the share of requests that may fail at a target."""
+    def failure_rate(self, instance: InstanceId) -> float:
+        """Return the share of requests that are expected to fail at a target."""
         return self._health.failing(instance, asyncio.get_running_loop().time())
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget a target that has left, once nothing runs there."""
+        """Discard the state of a target that has left, once nothing runs there."""
         self._health.forget(instance)
-        found = self._instances.get(instance)
-        if found is None:
+        load = self._loads.get(instance)
+        if load is None:
             return
-        found.gone = True
-        if not found.running:
-            del self._instances[instance]
+        load.removed = True
+        if not load.running:
+            del self._loads[instance]
 
     def running(self, instance: InstanceId) -> int:
-        """Return this process's requests at a target."""
-        found = self._instances.get(instance)
-        return found.running if found is not None else 0
-
-    def wait(self, instance: InstanceId) -> float:
-        """Return the seconds that a request is expected to wait."""
-        found = self._instances.get(instance)
-        if found is None:
+        """Return the number of this process's requests at a target."""
+        load = self._loads.get(instance)
+        return load.running if load is not None else 0
+
+    def expected_wait(self, instance: InstanceId) -> float:
+        """Return the expected wait of a new request, in seconds."""
+        load = self._loads.get(instance)
+        if load is None:
             return 0.0
         now = asyncio.get_running_loop().time()
-        oldest = min(found.waiting.values(), default=now)
-        # Requests that have waited for long say so before they are answered.
-        return max(self._faded(found, now), now - oldest - self._least)
+        earliest = min(load.prefilled_at.values(), default=now)
+        # Requests still without a first event already show a minimum wait.
+        return max(self._decayed_wait(load, now), now - earliest - self._idle_latency)
 
-    def _faded(self, found: _Instance, now: float) -> float:
-        return found.wait * 0.5 ** ((now - found.seen) / HALF_LIFE)
+    def _decayed_wait(self, load: _TargetLoad, now: float) -> float:
+        return load.wait * 0.5 ** ((now - load.wait_at) / WAIT_HALF_LIFE)
--- a/sequoiaarch/ingress/options.py
+++ b/sequoiaarch/ingress/options.py
@@ -1,4 +1,4 @@
-"""Declare what an ingress daemon has to know at its start."""
+"""Start-up options of an ingress daemon."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class StoreOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Set where the store is; each of its topics has so many partitions."""
+    """Address of the store and the number of partitions of each topic."""
 
     address: Address
     partitions: int = 1
 
 
 class IngressOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Set addresses and limits; sizes in bytes, times in seconds.
+    """Addresses and limits of one daemon; sizes in bytes, times in seconds.
 
-    Other daemons reach this one at `inner`; `seeds` are such addresses of a
-    few of them, some of which may be gone. Keys count up to `key_age_limit` after
-    the configuration was last known to hold them; None for ever. `quota` says how far
-    workspaces may go over their limits.
+    `inner` is the address for other daemons, and `seeds` are the inner addresses
+    of some of them, which may be unreachable. API keys are accepted for
+    `key_age_limit` after the configuration was last confirmed, or without limit
+    if it is None. `quota` bounds how far workspaces may exceed their limits.
     """
 
     host: HostName
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -1,4 +1,4 @@
-"""Keep connections to targets for further requests."""
+"""Pool of keep-alive connections to targets."""
 
 from __future__ import annotations
 
@@ -9,48 +9,49 @@
 from ..ids import InstanceId
 from ..routing.targets import TargetEntry
 
-# A target in the same region establishes a connection within 2 ms when idle,
-# and a lost first packet is sent again after 1 s. Seconds.
+# Seconds. Shorter than the retransmission timeout of a lost SYN, 1 s, so that
+# another target is tried first.
 CONNECT_TIMEOUT = 0.4
-# A request that crosses the target's close of an idle connection can't be
-# repeated unless it is idempotent, so connections are let go well before.
+# Connections are closed this many seconds before the target would close them: a
+# non-idempotent request that races with the target's close can't be retried.
 IDLE_MARGIN = 1.0
-IDLE_LIMIT = 4.0
-SWEEP_SECONDS = 1.0
+# Idle limit for targets that announce none, in seconds.
+DEFAULT_IDLE_LIMIT = 4.0
+SWEEP_INTERVAL = 1.0
 
 
-class TargetPool:
-    """Hold idle links by target."""
+class ConnectionPool:
+    """Reuse idle connections by target instance."""
 
     def __init__(self) -> None:
         self._idle: IdleLinks[InstanceId] = IdleLinks()
         self.opened = 0
 
-    async def take(self, target: TargetEntry) -> ClientLink:
-        """Return a usable link; raises LinkError."""
+    async def acquire(self, target: TargetEntry) -> ClientLink:
+        """Return an idle or new connection; raises LinkError."""
         link = self._idle.take(target.incarnation)
         if link is not None:
             return link
         self.opened += 1
         return await connect(target.address, timeout=CONNECT_TIMEOUT)
 
-    def give_back(
+    def release(
         self, target: TargetEntry, link: ClientLink, idle_limit: float | None
     ) -> None:
-        """Keep a link whose exchange was complete, or close it."""
-        limit = IDLE_LIMIT if idle_limit is None else idle_limit - IDLE_MARGIN
+        """Return a connection to the pool after a complete exchange, or close it."""
+        limit = DEFAULT_IDLE_LIMIT if idle_limit is None else idle_limit - IDLE_MARGIN
         self._idle.give_back(target.incarnation, link, limit)
 
     def forget(self, instance: InstanceId) -> None:
-        """Close the idle links to a target that has left or started again."""
+        """Close the idle connections to a target that has left or restarted."""
         self._idle.forget(instance)
 
     def close(self) -> None:
-        """Close all idle links."""
+        """Close all idle connections."""
         self._idle.close()
 
     async def sweep(self) -> None:
-        """Close links that were idle for too long, again and again."""
+        """Close connections past their idle limit, periodically."""
         while True:
-            await asyncio.sleep(SWEEP_SECONDS)
+            await asyncio.sleep(SWEEP_INTERVAL)
             self._idle.sweep()
--- a/sequoiaarch/ingress/sources.py
+++ b/sequoiaarch/ingress/sources.py
@@ -1,4 +1,4 @@
-"""Name what the platform writes for the gateways."""
+"""Topics that the platform writes and gateways read."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Sources:
-    """Name the topics that the platform fills, and decode their records."""
+    """Names and record decoders of the topics that the platform writes."""
 
     def __init__(
         self,
--- a/sequoiaarch/observe/request_metrics.py
+++ b/sequoiaarch/observe/request_metrics.py
@@ -19,10 +19,10 @@
         self._registry = Registry()
         self._answers = self._counter("answers_total", "Answers by route and status.")
         self._failures = self._counter("failures_total", "Own failures by kind.")
-        self._gauge = Gauge(
+        self._state = Gauge(
             "sequoiaarch_state", "State by name.", registry=self._registry
         )
-        self._shown: set[tuple[Workspace, int]] = set()
+        self._reported_shares: set[tuple[Workspace, int]] = set()
         self._shares = Gauge(
             "sequoiaarch_share_free",
             "Tokens left of the shares of limits that are kept here.",
@@ -32,33 +32,33 @@
         self._first = self._histogram("first_event_seconds", "Time to the first event.")
         self._commit = self._histogram("commit_seconds", "Time of a turn's commit.")
 
-    def answered(self, route: str, status: int, seconds: float) -> None:
+    def count_answer(self, route: str, status: int, seconds: float) -> None:
         """Count an answer."""
         self._answers.inc({"route": route, "status": str(status)})
         self._duration.observe({"route": route}, seconds)
 
-    def failed(self, kind: str) -> None:
+    def count_failure(self, kind: str) -> None:
         """Count a failure of the daemon's own."""
         self._failures.inc({"kind": kind})
 
-    def first_event(self, route: str, seconds: float) -> None:
+    def observe_first_event(self, route: str, seconds: float) -> None:
         """Measure the time to the first event of a stream."""
         self._first.observe({"route": route}, seconds)
 
-    def committed(self, seconds: float) -> None:
+    def observe_commit(self, seconds: float) -> None:
         """Measure the commit of a turn."""
         self._commit.observe({}, seconds)
 
-    def state(self, name: str, value: float) -> None:
+    def set_state(self, name: str, value: float) -> None:
         """Set a value of the daemon's state."""
-        self._gauge.set({"name": name}, value)
+        self._state.set({"name": name}, value)
 
-    def shares(self, free: Mapping[tuple[Workspace, int], float]) -> None:
+    def set_shares(self, free: Mapping[tuple[Workspace, int], float]) -> None:
         """Set what is left of the shares that are kept here, and 0 for those gone."""
-        gone = dict.fromkeys(self._shown - free.keys(), 0.0)
+        gone = dict.fromkeys(self._reported_shares - free.keys(), 0.0)
         for (workspace, share), left in {**gone, **free}.items():
             self._shares.set({"workspace": workspace, "share": str(share)}, left)
-        self._shown = set(free)
+        self._reported_shares = set(free)
 
     def text(self) -> bytes:
         """Return all metrics as text."""
--- a/sequoiaarch/platform/headers.py
+++ b/sequoiaarch/platform/headers.py
@@ -45,7 +45,7 @@
 class PlatformCallCodec:
     """Read callers' headers and write those for targets."""
 
-    def read(self, message: RequestMessage) -> CallInfo:
+    def read_request(self, message: RequestMessage) -> CallInfo:
         """Return what a request says of itself; raises ValueError."""
         found = {name.lower(): value.strip() for name, value in message.headers}
         usage = _numbers(found.get(USAGE))
@@ -89,7 +89,7 @@
             body=dispatch.body,
         )
 
-    def answer(self, head: ResponseHead) -> AnswerInfo:
+    def read_response(self, head: ResponseHead) -> AnswerInfo:
         """Return what a target's response says of itself."""
         found = {name.lower(): value.strip() for name, value in head.headers}
         not_run = NOT_RUN in found or head.status == MISDIRECTED
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -17,7 +17,6 @@
 from ..storage.direct import DirectCaller
 from ..storage.hedged import HedgedCaller
 from ..storage.relayed import RelayedCaller, Way
-from .headers import PlatformCallCodec
 from .documents import (
     CONFIG_KEY,
     CONFIG_TOPIC,
@@ -25,6 +24,7 @@
     decode_routes,
     decode_target,
 )
+from .headers import PlatformCallCodec
 from .settings import SETTINGS_VARIABLE, read_settings
 from .store import PlatformLog
 
--- a/sequoiaarch/tests/ingress/__init__.py
+++ b/sequoiaarch/tests/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Test package ingress."""
+"""Tests of the ingress package."""
