--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -50,7 +50,7 @@
 
 # Seconds over which target updates are batched; draining targets must stop getting
 # new requests within two seconds.
-TARGETS_BATCH_SECONDS = 0.3
+TARGETS_BATCH_DELAY = 0.3
 # Seconds from becoming unready until the load balancer sends no new connections: it
 # probes once a second and needs two failed probes.
 UNREADY_NOTICE = 2.6
@@ -173,7 +173,7 @@
             topic=sources.targets_topic,
             replace=registrations.take_all,
             change=registrations.take,
-            gather=TARGETS_BATCH_SECONDS,
+            gather=TARGETS_BATCH_DELAY,
             lost=self.targets.store_lost,
             regained=self.targets.store_regained,
         )
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -100,10 +100,10 @@
             self.load.expect_within(entry.incarnation, request, within)
             return
         shape = _prompt_shape(info)
-        prefill_time = self._memory.reading(entry.incarnation, shape)
+        prefill_seconds = self._memory.reading(entry.incarnation, shape)
         self._memory.note(entry.incarnation, shape)
-        self.load.track_first_event(entry.incarnation, request, prefill_time)
-        within = prefill_time + first_event_due(
+        self.load.track_first_event(entry.incarnation, request, prefill_seconds)
+        within = prefill_seconds + first_event_due(
             route.latency_target, self.load.longest_wait
         )
         self.load.expect_within(entry.incarnation, request, within)
--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -78,11 +78,11 @@
             del self._loads[instance]
 
     def track_first_event(
-        self, instance: InstanceId, request: object, prefill_time: float
+        self, instance: InstanceId, request: object, prefill_seconds: float
     ) -> None:
-        """Start measuring a request's wait after `prefill_time` seconds of prefill."""
+        """Start measuring a request's wait after `prefill_seconds` of prefill."""
         now = asyncio.get_running_loop().time()
-        self._loads[instance].prefilled_at[request] = now + prefill_time
+        self._loads[instance].prefilled_at[request] = now + prefill_seconds
 
     def expect_within(
         self, instance: InstanceId, request: object, within: float
--- a/sequoiaarch/platform/__init__.py
+++ b/sequoiaarch/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translate between the product and the users' platform."""
+"""Adapter for the users' platform: its headers, documents, settings and store."""
--- a/sequoiaarch/platform/__main__.py
+++ b/sequoiaarch/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Run the product on the users' platform."""
+"""Run a gateway on the users' platform."""
 
 from __future__ import annotations
 
@@ -7,10 +7,9 @@
 
 
 def main() -> int:
-    """Run until stopped; return the exit code."""
-    # The settings may change while the program is still being imported, which
-    # takes 0.3 s. By default that signal ends the process, and the gateway is
-    # missing until it is started again. It reads its settings after this.
+    """Run the gateway until it is stopped; return the exit code."""
+    # SIGHUP, the request to reload the settings, would end the process while the
+    # program is still being imported. It reads its settings only after that.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from .program import run
 
--- a/sequoiaarch/platform/documents.py
+++ b/sequoiaarch/platform/documents.py
@@ -1,4 +1,4 @@
-"""Decode the operator's configuration and the servers' registrations."""
+"""Decode the operator's configuration and the registrations of servers."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 )
 from ..routing.targets import TargetEntry
 from ..workspaces.directory import Directory, RateLimit, WorkspaceEntry
-from .fields import Fields, split_address
+from .structs import CamelStruct, split_address
 
 CONFIG_TOPIC = "keyed.op"
 CONFIG_KEY = "config"
 TARGETS_TOPIC = "keyed.servers"
 DRAINING = "draining"
-MOST_PORT = 65535
+MAX_PORT = 65535
 
 
-class _Split(Fields, frozen=True):
+class _Split(CamelStruct, frozen=True):
     service: str
     weight: float
 
 
-class _Route(Fields, frozen=True):
+class _Route(CamelStruct, frozen=True):
     name: str
     host: str
     path_prefix: str
-    type: RouteKind  # what may be repeated
+    type: RouteKind  # whether requests may be retried
     timeout_ms: float
     target_latency_ms: float = 1000
     gap_target_ms: float = 0  # longest pause between events
     priority: int = 0
     service: str = ""
     split: list[_Split] = []
-    max_attempts: int = 1  # servers that one request may be sent to
+    max_attempts: int = 1  # attempts per request
     retained: bool = False
     retention_s: float = 60
     sticky: bool = False
@@ -52,34 +52,34 @@
     public: bool = False  # needs no key
 
 
-class _Runtime(Fields, frozen=True):
+class _Runtime(CamelStruct, frozen=True):
     slots: int = 1
     kv_capacity_tokens: int = 0
-    chunk_tokens: int = 1  # tokens in each event of a stream
+    chunk_tokens: int = 1  # tokens per stream event
 
 
-class _Service(Fields, frozen=True):
+class _Service(CamelStruct, frozen=True):
     name: str
     max_conns: int = 100
     runtime: _Runtime | None = None
 
 
-class _Limits(Fields, frozen=True):
+class _Limits(CamelStruct, frozen=True):
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
     header_timeout_ms: float = 3000
     idle_timeout_ms: float = 15000
 
 
-class _Tenant(Fields, frozen=True):
+class _Tenant(CamelStruct, frozen=True):
     name: str
     api_keys: list[str] = []
     priority: int | None = None
-    rate_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0  # 0 for no limit
+    rate_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0  # 0 means unlimited
     burst: Annotated[float, msgspec.Meta(ge=0)] = 0
 
 
-class _Config(Fields, frozen=True):
+class _Config(CamelStruct, frozen=True):
     version: int
     routes: list[_Route]
     services: list[_Service]
@@ -87,7 +87,7 @@
     tenants: list[_Tenant] | None = None
 
 
-class _Registration(Fields, frozen=True):
+class _Registration(CamelStruct, frozen=True):
     service: str
     address: str
     zone: str
@@ -95,12 +95,12 @@
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: Literal["ready", "draining"]
     cold_remaining_ms: float
-    sequence: int  # orders accepted since its start
+    sequence: int  # number of orders accepted since its start
     born: Annotated[int, msgspec.Meta(ge=0)] = 0  # Unix milliseconds of its start
 
 
 def decode_routes(data: bytes) -> RouteTable:
-    """Return the routes in a configuration; raises ValueError."""
+    """Return the route table in a configuration; raises ValueError."""
     config = msgspec.json.decode(data, type=_Config, strict=False)
     limits = ClientLimits(
         header_bytes=config.limits.max_header_bytes,
@@ -110,82 +110,81 @@
     )
     return RouteTable(
         version=config.version,
-        routes=[_route(one) for one in config.routes],
-        services=[_service(one) for one in config.services],
+        routes=[_build_route(route) for route in config.routes],
+        services=[_build_service(service) for service in config.services],
         limits=limits,
-        workspaces=_workspaces(config.tenants),
+        workspaces=_build_directory(config.tenants),
     )
 
 
 def decode_target(key: str, data: bytes) -> TargetEntry:
-    """Return the target in a registration; raises ValueError.
+    """Return the target in a registration; raises ValueError if it is invalid.
 
-    An entry may come from another writer. One that lacks a field or has it in
-    another form names no target: sending to it would cost callers a try.
+    Registrations may come from other writers, so every field is validated.
     """
-    found = msgspec.json.decode(data, type=_Registration)
-    host, port = split_address(found.address)
+    registration = msgspec.json.decode(data, type=_Registration)
+    host, port = split_address(registration.address)
     ipaddress.IPv4Address(host)
-    if not 0 < port <= MOST_PORT:
+    if not 0 < port <= MAX_PORT:
         raise ValueError(f"port {port} is out of range")
-    if not key or not found.service or not found.zone:
+    if not key or not registration.service or not registration.zone:
         raise ValueError("key, service or zone is empty")
     return TargetEntry(
         instance=InstanceId(key),
-        service=ServiceName(found.service),
+        service=ServiceName(registration.service),
         host=host,
         port=port,
-        data_centre=DataCentre(found.zone),
-        slots=found.slots,
-        draining=found.state == DRAINING,
-        born=found.born,
+        data_centre=DataCentre(registration.zone),
+        slots=registration.slots,
+        draining=registration.state == DRAINING,
+        born=registration.born,
     )
 
 
-def _route(found: _Route) -> Route:
-    shares = found.split or [_Split(service=found.service, weight=1)]
+def _build_route(route: _Route) -> Route:
+    shares = route.split or [_Split(service=route.service, weight=1)]
     return Route(
-        name=found.name,
-        host=found.host,
-        prefix=found.path_prefix,
-        kind=found.type,
+        name=route.name,
+        host=route.host,
+        prefix=route.path_prefix,
+        kind=route.type,
         services=tuple(
-            ServiceShare(service=ServiceName(one.service), weight=one.weight)
-            for one in shares
+            ServiceShare(service=ServiceName(share.service), weight=share.weight)
+            for share in shares
         ),
-        timeout=found.timeout_ms / 1000,
-        latency_target=found.target_latency_ms / 1000,
-        event_pause=found.gap_target_ms / 1000,
-        priority=found.priority,
-        max_attempts=found.max_attempts,
-        retained=found.retained,
-        retention=found.retention_s,
-        sticky=found.sticky,
-        resumable=found.resumable,
-        public=found.public,
+        timeout=route.timeout_ms / 1000,
+        latency_target=route.target_latency_ms / 1000,
+        event_pause=route.gap_target_ms / 1000,
+        priority=route.priority,
+        max_attempts=route.max_attempts,
+        retained=route.retained,
+        retention=route.retention_s,
+        sticky=route.sticky,
+        resumable=route.resumable,
+        public=route.public,
     )
 
 
-def _workspaces(found: list[_Tenant] | None) -> Directory | None:
-    if found is None:
+def _build_directory(tenants: list[_Tenant] | None) -> Directory | None:
+    if tenants is None:
         return None
-    return Directory(_workspace(one) for one in found)
+    return Directory(_build_workspace(tenant) for tenant in tenants)
 
 
-def _workspace(found: _Tenant) -> WorkspaceEntry:
+def _build_workspace(tenant: _Tenant) -> WorkspaceEntry:
     limit = None
-    if found.rate_per_s:
-        limit = RateLimit(rate=found.rate_per_s, burst=found.burst)
+    if tenant.rate_per_s:
+        limit = RateLimit(rate=tenant.rate_per_s, burst=tenant.burst)
     return WorkspaceEntry(
-        name=Workspace(found.name),
-        keys=frozenset(found.api_keys),
-        priority=found.priority,
+        name=Workspace(tenant.name),
+        keys=frozenset(tenant.api_keys),
+        priority=tenant.priority,
         limit=limit,
     )
 
 
-def _service(found: _Service) -> Service:
-    runtime = found.runtime
+def _build_service(service: _Service) -> Service:
+    runtime = service.runtime
     engine = None
     if runtime is not None:
         engine = EngineTraits(
@@ -194,7 +193,7 @@
             event_tokens=runtime.chunk_tokens,
         )
     return Service(
-        name=ServiceName(found.name),
-        max_connections=found.max_conns,
+        name=ServiceName(service.name),
+        max_connections=service.max_conns,
         engine=engine,
     )
--- a/sequoiaarch/platform/headers.py
+++ b/sequoiaarch/platform/headers.py
@@ -1,4 +1,4 @@
-"""Translate the headers of requests and responses."""
+"""Decode and encode the platform's request and response headers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 SESSION = b"x-session-id"
 PROGRAM_DEADLINE = b"x-program-deadline-ms"
 BUDGET = b"x-token-budget"
-USAGE = b"x-token-usage"  # prompt tokens, most output tokens
+USAGE = b"x-token-usage"  # prompt tokens, maximum output tokens
 PREFIX = b"x-prompt-prefix"
 PREVIOUS = b"x-previous-turn"
 HINT = b"x-length-hint"
@@ -24,9 +24,9 @@
 WORKSPACE = b"x-tenant"
 MISDIRECTED = 421
 
-# Headers that only the scheduler may set, as they hold engine memory, name a place
-# in it or say who the caller is; and the caller's key, which goes no further.
-RESERVED = frozenset(
+# Headers that are never forwarded from callers: those that control engine memory,
+# priority or the caller's identity, and the caller's API key.
+STRIPPED = frozenset(
     {
         b"x-hold",
         b"x-pin-ms",
@@ -43,37 +43,37 @@
 
 
 class PlatformCallCodec:
-    """Read callers' headers and write those for targets."""
+    """Call codec for the platform's header names."""
 
     def read_request(self, message: RequestMessage) -> CallInfo:
-        """Return what a request says of itself; raises ValueError."""
-        found = {name.lower(): value.strip() for name, value in message.headers}
-        usage = _numbers(found.get(USAGE))
-        previous = _text(found.get(PREVIOUS))
-        key = _text(found.get(KEY))
+        """Return the metadata of a request; raises ValueError."""
+        headers = {name.lower(): value.strip() for name, value in message.headers}
+        usage = _decode_ints(headers.get(USAGE))
+        previous = _decode_text(headers.get(PREVIOUS))
+        key = _decode_text(headers.get(KEY))
         return CallInfo(
-            attempt=AttemptId(_text(found.get(ATTEMPT)) or ""),
-            host=_text(found.get(b"host")) or "",
+            attempt=AttemptId(_decode_text(headers.get(ATTEMPT)) or ""),
+            host=_decode_text(headers.get(b"host")) or "",
             path=message.target.split(b"?", 1)[0].decode("latin-1"),
-            deadline=_seconds(found.get(DEADLINE)),
-            program=ProgramId(_text(found.get(PROGRAM)) or ""),
-            session=SessionId(_text(found.get(SESSION)) or ""),
-            program_deadline=_seconds(found.get(PROGRAM_DEADLINE)),
-            budget=_number(found.get(BUDGET)),
+            deadline=_decode_milliseconds(headers.get(DEADLINE)),
+            program=ProgramId(_decode_text(headers.get(PROGRAM)) or ""),
+            session=SessionId(_decode_text(headers.get(SESSION)) or ""),
+            program_deadline=_decode_milliseconds(headers.get(PROGRAM_DEADLINE)),
+            budget=_decode_int(headers.get(BUDGET)),
             prompt_tokens=usage[0] if usage else 0,
             most_tokens=usage[1] if len(usage) > 1 else 0,
-            expected_tokens=_number(found.get(HINT)),
+            expected_tokens=_decode_int(headers.get(HINT)),
             previous=TurnId(previous) if previous else None,
-            prefix=_prefix(found.get(PREFIX)),
+            prefix=_decode_prefix(headers.get(PREFIX)),
             key=Secret(key) if key else None,
         )
 
     def forward(self, message: RequestMessage, dispatch: Dispatch) -> RequestMessage:
-        """Return the request as the target is to receive it."""
+        """Return the request to send to the target."""
         headers = [
             (name, value)
             for name, value in end_to_end(message.headers)
-            if name.lower() not in RESERVED and name.lower() != DEADLINE
+            if name.lower() not in STRIPPED and name.lower() != DEADLINE
         ]
         left = max(1, int(dispatch.deadline * 1000))
         headers.append((b"X-Deadline-Ms", str(left).encode()))
@@ -90,21 +90,21 @@
         )
 
     def read_response(self, head: ResponseHead) -> AnswerInfo:
-        """Return what a target's response says of itself."""
-        found = {name.lower(): value.strip() for name, value in head.headers}
-        not_run = NOT_RUN in found or head.status == MISDIRECTED
-        attempt = _text(found.get(ATTEMPT))
+        """Return the metadata of a target's response."""
+        headers = {name.lower(): value.strip() for name, value in head.headers}
+        not_run = NOT_RUN in headers or head.status == MISDIRECTED
+        attempt = _decode_text(headers.get(ATTEMPT))
         return AnswerInfo(
             attempt=AttemptId(attempt) if attempt else None,
             not_run=not_run,
-            instance=InstanceId(_text(found.get(INSTANCE)) or ""),
-            idle_limit=_keep_alive(found),
-            coded=b"content-encoding" in found,
+            instance=InstanceId(_decode_text(headers.get(INSTANCE)) or ""),
+            idle_limit=_idle_limit(headers),
+            coded=b"content-encoding" in headers,
             headers=end_to_end(head.headers),
         )
 
     def failure_headers(self, attempt: AttemptId, retry_after: float | None) -> Headers:
-        """Return the headers of an answer of the system's own."""
+        """Return the headers of an error response that the gateway generates."""
         headers: Headers = [(b"Content-Type", b"application/json")]
         if attempt:
             headers.append((b"X-Attempt-Id", attempt.encode()))
@@ -113,23 +113,23 @@
         return headers
 
 
-def _text(value: bytes | None) -> str | None:
+def _decode_text(value: bytes | None) -> str | None:
     return value.decode("latin-1") if value is not None else None
 
 
-def _number(value: bytes | None) -> int | None:
+def _decode_int(value: bytes | None) -> int | None:
     return int(value) if value else None
 
 
-def _numbers(value: bytes | None) -> list[int]:
+def _decode_ints(value: bytes | None) -> list[int]:
     return [int(part) for part in value.split(b",")] if value else []
 
 
-def _seconds(value: bytes | None) -> float | None:
+def _decode_milliseconds(value: bytes | None) -> float | None:
     return float(value) / 1000 if value else None
 
 
-def _prefix(value: bytes | None) -> tuple[PromptPart, ...]:
+def _decode_prefix(value: bytes | None) -> tuple[PromptPart, ...]:
     if not value:
         return ()
     parts = []
@@ -139,11 +139,11 @@
     return tuple(parts)
 
 
-def _keep_alive(found: dict[bytes, bytes]) -> float | None:
-    """Return the seconds after which the target closes an idle connection."""
-    if b"close" in found.get(b"connection", b"").lower():
+def _idle_limit(headers: dict[bytes, bytes]) -> float | None:
+    """Return the target's idle timeout in seconds, or None if it names none."""
+    if b"close" in headers.get(b"connection", b"").lower():
         return 0.0
-    for part in found.get(b"keep-alive", b"").split(b","):
+    for part in headers.get(b"keep-alive", b"").split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.strip().isdigit():
             return float(value)
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -1,4 +1,4 @@
-"""Put a gateway together for the users' platform, and run it."""
+"""Build and run a gateway for the users' platform."""
 
 from __future__ import annotations
 
@@ -71,16 +71,16 @@
         store_way=lambda: caller.way,
     )
     server.others = daemon.answer_peer
-    serving = asyncio.create_task(server.run())
+    server_task = asyncio.create_task(server.run())
     await daemon.run()
-    serving.cancel()
+    server_task.cancel()
     server.close()
     peers.close()
     context.destroy(linger=0)
 
 
 def run() -> int:
-    """Run until stopped; return the exit code."""
+    """Run the gateway until it is stopped; return the exit code."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     with events_to(sys.stdout.fileno()) as events:
         try:
--- a/sequoiaarch/platform/store.py
+++ b/sequoiaarch/platform/store.py
@@ -1,4 +1,4 @@
-"""Speak the store's protocol for keyed topics."""
+"""Client of the store's HTTP protocol for keyed topics."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 
 log = logbook.Logger("store")
 
-LENGTH_BYTES = 4
-HEAD_BYTES = 16
-READ_KIB = 1024
-# Seconds. A slow store needs 0.3 s for an answer; a lost answer never comes.
+FRAME_LENGTH_BYTES = 4
+PAGE_HEADER_BYTES = 16
+MAX_READ_KIB = 1024
+# Seconds; well above the response time of a slow store.
 APPEND_TIMEOUT = 1.2
 READ_TIMEOUT = 1.0
 PAGE_TIMEOUT = 2.0
-WAIT_MARGIN = 0.8
+LONG_POLL_MARGIN = 0.8
 
 
-# What an answer must hold has no default: an object that lacks it would be taken
-# for an empty list, and a turn that is kept for one that never was.
+# Required fields have no defaults: otherwise a malformed response would be taken for
+# an empty list, and a retained turn for one that doesn't exist.
 class _Appended(msgspec.Struct, rename="camel", kw_only=True):
     offset: int
 
@@ -52,7 +52,7 @@
 
 
 class PlatformLog:
-    """Append to and read from keyed topics of the platform's store."""
+    """Keyed log in the platform's store."""
 
     def __init__(self, *, caller: StoreCaller) -> None:
         self._caller = caller
@@ -72,23 +72,23 @@
         if isinstance(reply, Failure):
             return reply
         if reply.status != 200:
-            return _refused(call, reply)
+            return _unexpected_status(call, reply)
         try:
             return Offset(msgspec.json.decode(reply.body, type=_Appended).offset)
         except ValueError as error:
-            return _unreadable(call, error)
+            return _invalid_body(call, error)
 
     async def append_at(
         self, partition: Partition, records: list[KeyedRecord], *, end: Offset
     ) -> bool | Failure:
-        """Append if the partition still ends there; return whether it did."""
+        """Append if the partition still ends at `end`; return whether it did."""
         call = _append_call(partition, records, asOf=end)
         reply = await self._caller.call(call)
         if isinstance(reply, Failure):
             return reply
         if reply.status == 412:
             return False
-        return True if reply.status == 200 else _refused(call, reply)
+        return True if reply.status == 200 else _unexpected_status(call, reply)
 
     async def read(
         self, partition: Partition, start: Offset, *, wait: float
@@ -98,14 +98,14 @@
             "topic": partition.topic,
             "part": partition.number,
             "from": start,
-            "maxKb": READ_KIB,
+            "maxKb": MAX_READ_KIB,
         }
         if wait:
             query["waitMs"] = int(wait * 1000)
         call = StoreCall(
             method="GET",
             path=f"/-/log-read?{urlencode(query)}",
-            timeout=wait + (WAIT_MARGIN if wait else READ_TIMEOUT),
+            timeout=wait + (LONG_POLL_MARGIN if wait else READ_TIMEOUT),
             waits=wait > 0,
         )
         reply = await self._caller.call(call)
@@ -114,11 +114,11 @@
         if reply.status == 410:
             return LogGap.TRIMMED
         if reply.status != 200:
-            return _refused(call, reply)
+            return _unexpected_status(call, reply)
         try:
-            return _page(start, reply.body)
+            return _decode_page(start, reply.body)
         except ValueError as error:
-            return _unreadable(call, error)
+            return _invalid_body(call, error)
 
     async def newest(self, partition: Partition) -> Newest | Failure:
         """Read the newest record of each key."""
@@ -140,26 +140,26 @@
             if reply.status == 404:
                 return Newest(records=[], resume=Offset(0))
             if reply.status != 200:
-                return _refused(call, reply)
+                return _unexpected_status(call, reply)
             try:
                 page = msgspec.json.decode(reply.body, type=_Items)
             except ValueError as error:
-                return _unreadable(call, error)
+                return _invalid_body(call, error)
             if resume is None:
                 resume = page.end_offset
-            records += [one for one in map(_listed, page.items) if one is not None]
+            records += [one for one in map(_decode_item, page.items) if one is not None]
             if not page.has_more or not page.items:
                 return Newest(records=records, resume=Offset(resume))
             after = page.items[-1].key
 
 
 def _append_call(
-    partition: Partition, records: list[KeyedRecord], **terms: str | int
+    partition: Partition, records: list[KeyedRecord], **parameters: str | int
 ) -> StoreCall:
-    place = {"topic": partition.topic, "part": partition.number}
+    query = {"topic": partition.topic, "part": partition.number}
     return StoreCall(
         method="POST",
-        path=f"/-/log-append?{urlencode({**place, **terms})}",
+        path=f"/-/log-append?{urlencode({**query, **parameters})}",
         body=b"".join(_frame(record) for record in records),
         timeout=APPEND_TIMEOUT,
     )
@@ -168,51 +168,51 @@
 def _frame(record: KeyedRecord) -> bytes:
     key = record.key.encode()
     content = bytes([len(key)]) + key + record.value
-    return len(content).to_bytes(LENGTH_BYTES, "big") + content
+    return len(content).to_bytes(FRAME_LENGTH_BYTES, "big") + content
 
 
-def _page(start: Offset, body: bytes) -> KeyedPage:
-    """Return the records of a page; raises ValueError where it is cut."""
-    if len(body) < HEAD_BYTES:
-        raise ValueError(f"a page of {len(body)} bytes has no head")
+def _decode_page(start: Offset, body: bytes) -> KeyedPage:
+    """Return the records of a page; raises ValueError if it is truncated."""
+    if len(body) < PAGE_HEADER_BYTES:
+        raise ValueError(f"a page of {len(body)} bytes has no complete header")
     end = int.from_bytes(body[:8], "big")
     records: list[KeyedRecord] = []
-    place = HEAD_BYTES
-    while place + LENGTH_BYTES <= len(body):
-        length = int.from_bytes(body[place : place + LENGTH_BYTES], "big")
-        place += LENGTH_BYTES
-        if place + length > len(body):
-            raise ValueError("a record is cut")
-        records.append(_keyed(body[place : place + length]))
-        place += length
+    position = PAGE_HEADER_BYTES
+    while position + FRAME_LENGTH_BYTES <= len(body):
+        length = int.from_bytes(body[position : position + FRAME_LENGTH_BYTES], "big")
+        position += FRAME_LENGTH_BYTES
+        if position + length > len(body):
+            raise ValueError("a record is truncated")
+        records.append(_decode_record(body[position : position + length]))
+        position += length
     return KeyedPage(start=start, end=Offset(end), records=records)
 
 
-def _keyed(content: bytes) -> KeyedRecord:
-    """Return a record; one whose key can't be read keeps its place, no more."""
+def _decode_record(content: bytes) -> KeyedRecord:
+    """Return a record; if its key isn't UTF-8, an empty one to keep its offset."""
     key_length = content[0] if content else 0
     try:
         key = content[1 : 1 + key_length].decode()
     except UnicodeDecodeError:
-        log.warning("a record whose key is no text is passed over")
+        log.warning("a record whose key is not valid UTF-8 is ignored")
         return KeyedRecord(key="", value=b"")
     return KeyedRecord(key=key, value=content[1 + key_length :])
 
 
-def _listed(item: _Item) -> ListedRecord | None:
+def _decode_item(item: _Item) -> ListedRecord | None:
     try:
         value = base64.b64decode(item.value, validate=True)
     except ValueError as error:
-        log.warning("record {} can't be read and is passed over: {}", item.key, error)
+        log.warning("record {} can't be decoded and is ignored: {}", item.key, error)
         return None
     return ListedRecord(key=item.key, value=value, offset=Offset(item.offset))
 
 
-def _unreadable(call: StoreCall, error: ValueError) -> Failure:
-    return unavailable(call, f"the answer can't be read: {error}")
+def _invalid_body(call: StoreCall, error: ValueError) -> Failure:
+    return unavailable(call, f"the response can't be decoded: {error}")
 
 
-def _refused(call: StoreCall, reply: StoreReply) -> Failure:
+def _unexpected_status(call: StoreCall, reply: StoreReply) -> Failure:
     path = call.path.partition("?")[0]
     reason = f"{path} answered {reply.status} {reply.body[:80]!r}"
     return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason=reason)
--- a/sequoiaarch/tests/ingress/load_tests.py
+++ b/sequoiaarch/tests/ingress/load_tests.py
@@ -37,7 +37,7 @@
     async def test_silent_target_is_reported(self) -> None:
         """Report a target whose stream stops between two events, only once.
 
-        Once another host reports it too, the target is passed over.
+        Once another host reports it too, the target is ejected.
         """
         self.tracker.request_started(TARGET)
         self.tracker.expect_within(TARGET, "request", 0.3)
@@ -73,7 +73,7 @@
     async def test_long_queues_extend_first_event_deadline(self) -> None:
         """Allow more time for a first event while recent waits are long.
 
-        Passing over full engines in a burst would only fill the others.
+        Ejecting full engines in a burst would only fill the others.
         """
         due = first_event_due(0.25, self.tracker.longest_wait)
         self.assertEqual(due, 1.0)
