--- a/sequoiaarch/observe/__init__.py
+++ b/sequoiaarch/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Show what the system does: logs, metrics, traces and decisions."""
+"""Observability: logs, metrics, traces and decisions."""
--- a/sequoiaarch/observe/decisions.py
+++ b/sequoiaarch/observe/decisions.py
@@ -1,4 +1,4 @@
-"""Remember why a program was treated as it was."""
+"""Recent scheduling decisions and their reasons, by program."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from ..ids import ProgramId
 from ..wire.messages import Decision
 
-DECISIONS_A_PROGRAM = 64
-PROGRAMS_KEPT = 2048
+DECISIONS_PER_PROGRAM = 64
+MAX_PROGRAMS = 2048
 
 
 class Decisions:
-    """Keep the latest decisions of the latest programs."""
+    """Keep the latest decisions of the most recently active programs."""
 
     def __init__(self) -> None:
-        self._kept: OrderedDict[ProgramId, deque[Decision]] = OrderedDict()
+        self._by_program: OrderedDict[ProgramId, deque[Decision]] = OrderedDict()
 
     def note(self, program: ProgramId, part: str, choice: str, reason: str) -> None:
-        """Remember one decision."""
-        entries = self._kept.get(program)
+        """Record a decision of one part of the system and its reason."""
+        entries = self._by_program.get(program)
         if entries is None:
-            entries = self._kept[program] = deque(maxlen=DECISIONS_A_PROGRAM)
-        self._kept.move_to_end(program)
+            entries = self._by_program[program] = deque(maxlen=DECISIONS_PER_PROGRAM)
+        self._by_program.move_to_end(program)
         entries.append(
             Decision(at=time.time(), part=part, choice=choice, reason=reason)
         )
-        while len(self._kept) > PROGRAMS_KEPT:
-            self._kept.popitem(last=False)
+        while len(self._by_program) > MAX_PROGRAMS:
+            self._by_program.popitem(last=False)
 
     def of(self, program: ProgramId) -> list[Decision]:
-        """Return the decisions for a program, oldest first."""
-        return list(self._kept.get(program, ()))
+        """Return the recorded decisions for a program, oldest first."""
+        return list(self._by_program.get(program, ()))
--- a/sequoiaarch/observe/events.py
+++ b/sequoiaarch/observe/events.py
@@ -1,4 +1,4 @@
-"""Write structured lines without ever holding up the process."""
+"""Structured logging that never blocks the process."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 import logbook
 import msgspec
 
-# A gateway answers about 100 requests a second at its peak, with a line each.
-# Beyond this rate lines are left out and counted. Lines a second.
+# Lines per second, and the burst in lines; lines beyond the rate are dropped.
 LINE_RATE = 300.0
 LINE_BURST = 600.0
-# What a reader of the output may be behind before lines are dropped. Bytes.
+# Bytes buffered for a slow reader before lines are dropped.
 BUFFER_BYTES = 512 * 1024
-FLUSH_SECONDS = 0.05
-PIPE_BYTES = 64 * 1024
+FLUSH_INTERVAL = 0.05
+# The default capacity of a pipe on Linux.
+MAX_WRITE_BYTES = 64 * 1024
 
 Value = str | int | float | bool | None | list[str]
 
 
 class EventLog:
-    """Collect lines of JSON and write them when the descriptor takes them.
+    """Buffer JSON lines and write them without blocking.
 
-    A log that blocks stops every request of the process when whoever reads it
-    is slow. Lines that don't fit are dropped; the next one says how many.
+    A slow reader must not block requests: lines beyond the rate limit or the buffer
+    are dropped, and the next line has their number in `omitted`.
     """
 
     def __init__(
@@ -40,19 +40,19 @@
         self._write = write
         self._clock = clock
         self._lines: deque[bytes] = deque()
-        self._size = 0
+        self._buffered_bytes = 0
         self._tokens = LINE_BURST
-        self._filled = clock()
+        self._refilled_at = clock()
         self._omitted = 0
 
     @property
     def omitted(self) -> int:
-        """Return the lines left out since the last one that was kept."""
+        """Return the number of lines dropped since the last buffered one."""
         return self._omitted
 
     def emit(self, event: str, **fields: Value) -> None:
-        """Add a line; `time` is the process's own time of day."""
-        if not self._admit():
+        """Buffer a line with the current Unix time in `time`."""
+        if not self._take_token():
             self._omitted += 1
             return
         line: dict[str, Value] = {"time": round(time.time(), 4), "event": event}
@@ -62,52 +62,52 @@
         line.update(fields)
         data = msgspec.json.encode(line) + b"\n"
         self._lines.append(data)
-        self._size += len(data)
+        self._buffered_bytes += len(data)
 
     def flush(self) -> None:
-        """Write what the descriptor takes."""
+        """Write as much of the buffer as the writer accepts."""
         while self._lines:
-            chunk = self._chunk()
+            chunk = self._next_chunk()
             written = self._write(chunk)
-            self._size -= written
+            self._buffered_bytes -= written
             if written < len(chunk):
                 self._lines.appendleft(chunk[written:])
                 return
 
     async def run(self) -> None:
-        """Write lines again and again."""
+        """Flush the buffer periodically."""
         while True:
-            await asyncio.sleep(FLUSH_SECONDS)
+            await asyncio.sleep(FLUSH_INTERVAL)
             self.flush()
 
-    def _chunk(self) -> bytes:
+    def _next_chunk(self) -> bytes:
         parts: list[bytes] = []
         size = 0
-        while self._lines and size < PIPE_BYTES:
+        while self._lines and size < MAX_WRITE_BYTES:
             parts.append(self._lines.popleft())
             size += len(parts[-1])
         return b"".join(parts)
 
-    def _admit(self) -> bool:
+    def _take_token(self) -> bool:
         now = self._clock()
-        gained = (now - self._filled) * LINE_RATE
-        self._tokens = min(LINE_BURST, self._tokens + gained)
-        self._filled = now
-        if self._tokens < 1 or self._size > BUFFER_BYTES:
+        refill = (now - self._refilled_at) * LINE_RATE
+        self._tokens = min(LINE_BURST, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1 or self._buffered_bytes > BUFFER_BYTES:
             return False
         self._tokens -= 1
         return True
 
 
 class EventHandler(logbook.Handler):
-    """Pass the log lines of all parts on to the event log."""
+    """Logbook handler that writes records to an event log."""
 
     def __init__(self, *, events: EventLog) -> None:
         super().__init__(level=logbook.INFO)
         self._events = events
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Add a line for a record."""
+        """Write a log record as an event named by its channel."""
         fields: dict[str, Value] = {
             "level": record.level_name.lower(),
             "message": record.message,
@@ -117,8 +117,8 @@
         self._events.emit(record.channel, **fields)
 
 
-def write_or_skip(descriptor: int) -> Callable[[bytes], int]:
-    """Return a function that writes to a descriptor what fits, or nothing."""
+def nonblocking_writer(descriptor: int) -> Callable[[bytes], int]:
+    """Return a function that writes to a descriptor without blocking."""
     os.set_blocking(descriptor, False)
 
     def write(data: bytes) -> int:
@@ -131,9 +131,9 @@
 
 
 @contextlib.contextmanager
-def events_to(descriptor: int) -> Iterator[EventLog]:
-    """Send all log lines of the process to a descriptor."""
-    events = EventLog(write=write_or_skip(descriptor))
+def events_written_to(descriptor: int) -> Iterator[EventLog]:
+    """Write all log records of the process to a descriptor."""
+    events = EventLog(write=nonblocking_writer(descriptor))
     with EventHandler(events=events).applicationbound():
         try:
             yield events
--- a/sequoiaarch/observe/failures.py
+++ b/sequoiaarch/observe/failures.py
@@ -1,4 +1,4 @@
-"""Count failed requests from the lines of gateways' logs."""
+"""Summarise failed requests from gateways' logs."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 import msgspec
 
 ANSWERED = "answered"
-# What differs from line to line of one cause: ids, times and numbers.
-VARIABLE = re.compile(r"\b[0-9a-f]{8,}\b|\d+(?:\.\d+)?")
+# Ids and numbers, which differ between failures of the same cause.
+VARIABLE_PART = re.compile(r"\b[0-9a-f]{8,}\b|\d+(?:\.\d+)?")
 NO_REASON = "no reason given"
-# How a step of a request begins that names the target it went to.
-CHOSEN = re.compile(r"^(\S+) chosen:")
+# A step that names the target of an attempt.
+CHOSEN_STEP = re.compile(r"^(\S+) chosen:")
 NOT_SENT = "sent to no target"
 NO_WORKSPACE = "no workspace"
 
 
 class Grouping(Enum):
-    """Say what failures are put together by."""
+    """Key that failures are grouped by."""
 
     CAUSE = "cause"
     GATEWAY = "gateway"
@@ -30,9 +30,9 @@
 
 
 class RequestLine(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what the log says of one request; `time` is in seconds.
+    """Log line of one request; `time` is in Unix seconds.
 
-    `gateway` is what stands before the line, or else the name of the log.
+    `gateway` is the prefix of the line, or else the name of the log.
     """
 
     time: float
@@ -48,15 +48,15 @@
 
     @property
     def owner(self) -> tuple[str | None, str]:
-        """Return the program and its workspace, which may share its id with others."""
+        """Return the workspace and the program, whose id is unique only in there."""
         return self.workspace, self.program
 
 
 class GroupRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Count the failures of one target, gateway, route, workspace or cause.
+    """Failures of one target, gateway, route, workspace or cause.
 
-    `first` and `final` are the seconds from the start of the log at which they
-    began and ended; `last` counts programs as in FailureRow.
+    `first` and `final` are the times of the first and last failure, in seconds from
+    the start of the log; `last` counts programs as in FailureRow.
     """
 
     group: str
@@ -70,10 +70,10 @@
 
 
 class FailureRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Count the failures of one cause that ended in one span of time.
+    """Failures of one cause in one time span.
 
-    `programs` counts those that had such a failure, `last` those whose last
-    request it was, which is where a program is given up.
+    `programs` counts the programs with such a failure, and `last` those that sent
+    no further request after it, which were given up.
     """
 
     start: float
@@ -89,53 +89,61 @@
 
 
 def read_requests(lines: Iterable[str], name: str = "") -> Iterator[RequestLine]:
-    """Return the lines of requests in a log, whatever stands before and between."""
+    """Yield the request lines of a log; skips other lines and strips prefixes."""
     for line in lines:
-        begin = line.find("{")
-        if begin < 0:
+        brace = line.find("{")
+        if brace < 0:
             continue
         try:
-            found = _decoder.decode(line[begin:].strip())
+            request = _decoder.decode(line[brace:].strip())
         except msgspec.DecodeError:
             continue
-        if found.event == "request":
-            gateway = line[:begin].strip() or name
-            yield msgspec.structs.replace(found, gateway=gateway)
+        if request.event == "request":
+            gateway = line[:brace].strip() or name
+            yield msgspec.structs.replace(request, gateway=gateway)
 
 
-class _Failures:
-    """Hold the failed requests of logs in the order of time."""
+class _FailedRequests:
+    """Failed requests of logs, ordered by time."""
 
     def __init__(self, requests: Iterable[RequestLine]) -> None:
-        ordered = sorted(requests, key=lambda one: one.time)
-        self.failed = [one for one in ordered if one.outcome != ANSWERED]
-        self._begin = ordered[0].time if ordered else 0.0
-        self._last_of = {one.owner: one.id for one in ordered if one.program}
-
-    def second(self, one: RequestLine) -> float:
-        """Return when a request ended, in seconds from the start of the logs."""
-        return one.time - self._begin
-
-    def given_up(self, group: Iterable[RequestLine]) -> int:
-        """Return how many programs had their last request in a group."""
-        return sum(self._last_of.get(one.owner) == one.id for one in group)
+        ordered = sorted(requests, key=lambda request: request.time)
+        self.failed = [request for request in ordered if request.outcome != ANSWERED]
+        self._start_time = ordered[0].time if ordered else 0.0
+        self._last_requests = {
+            request.owner: request.id for request in ordered if request.program
+        }
+
+    def elapsed(self, request: RequestLine) -> float:
+        """Return the end of a request, in seconds from the start of the logs."""
+        return request.time - self._start_time
+
+    def count_given_up(self, group: Iterable[RequestLine]) -> int:
+        """Return the number of programs whose last request is in a group."""
+        return sum(
+            self._last_requests.get(request.owner) == request.id for request in group
+        )
 
 
 def count_failures(requests: Iterable[RequestLine], span: float) -> list[FailureRow]:
-    """Return the failures in spans of `span` seconds, in the order of time."""
-    found = _Failures(requests)
+    """Return failures by cause and span of `span` seconds, ordered by time."""
+    failures = _FailedRequests(requests)
     groups: dict[tuple[int, str, str], list[RequestLine]] = defaultdict(list)
-    for one in found.failed:
-        cause = (int(found.second(one) / span), one.outcome, _cause(one.reason))
-        groups[cause].append(one)
+    for request in failures.failed:
+        cause = (
+            int(failures.elapsed(request) / span),
+            request.outcome,
+            _normalised_reason(request.reason),
+        )
+        groups[cause].append(request)
     rows = [
         FailureRow(
             start=number * span,
             outcome=outcome,
             reason=reason,
             requests=len(group),
-            programs=_programs(group),
-            last=found.given_up(group),
+            programs=_count_programs(group),
+            last=failures.count_given_up(group),
             example=group[0].id,
         )
         for (number, outcome, reason), group in groups.items()
@@ -144,20 +152,20 @@
 
 
 def group_failures(requests: Iterable[RequestLine], by: Grouping) -> list[GroupRow]:
-    """Return the failures of each group, those with the most first."""
-    found = _Failures(requests)
+    """Return the failures of each group, the largest first."""
+    failures = _FailedRequests(requests)
     groups: dict[str, list[RequestLine]] = defaultdict(list)
-    for one in found.failed:
-        groups[GROUPS[by](one)].append(one)
+    for request in failures.failed:
+        groups[GROUP_KEYS[by](request)].append(request)
     rows = [
         GroupRow(
             group=name,
-            first=round(found.second(group[0]), 3),
-            final=round(found.second(group[-1]), 3),
+            first=round(failures.elapsed(group[0]), 3),
+            final=round(failures.elapsed(group[-1]), 3),
             requests=len(group),
-            gateways=len({one.gateway for one in group}),
-            programs=_programs(group),
-            last=found.given_up(group),
+            gateways=len({request.gateway for request in group}),
+            programs=_count_programs(group),
+            last=failures.count_given_up(group),
             example=group[0].id,
         )
         for name, group in groups.items()
@@ -166,31 +174,35 @@
 
 
 def total_by_cause(rows: Iterable[FailureRow]) -> Counter[str]:
-    """Return the failed requests of each cause, over all spans."""
+    """Return the number of failed requests of each cause over all spans."""
     totals: Counter[str] = Counter()
     for row in rows:
         totals[f"{row.outcome}: {row.reason}"] += row.requests
     return totals
 
 
-def _programs(group: Iterable[RequestLine]) -> int:
-    return len({one.owner for one in group if one.program})
+def _count_programs(group: Iterable[RequestLine]) -> int:
+    return len({request.owner for request in group if request.program})
 
 
-def _cause(reason: str) -> str:
-    return VARIABLE.sub("#", reason) or NO_REASON
+def _normalised_reason(reason: str) -> str:
+    return VARIABLE_PART.sub("#", reason) or NO_REASON
 
 
-def _target(one: RequestLine) -> str:
-    """Return the target that a request went to last."""
-    chosen = [found.group(1) for step in one.steps if (found := CHOSEN.match(step))]
+def _last_target(request: RequestLine) -> str:
+    """Return the target of the last attempt of a request."""
+    chosen = [
+        match.group(1) for step in request.steps if (match := CHOSEN_STEP.match(step))
+    ]
     return chosen[-1] if chosen else NOT_SENT
 
 
-GROUPS: dict[Grouping, Callable[[RequestLine], str]] = {
-    Grouping.CAUSE: lambda one: f"{one.outcome}: {_cause(one.reason)}",
-    Grouping.GATEWAY: lambda one: one.gateway,
-    Grouping.ROUTE: lambda one: one.route,
-    Grouping.TARGET: _target,
-    Grouping.WORKSPACE: lambda one: one.workspace or NO_WORKSPACE,
+GROUP_KEYS: dict[Grouping, Callable[[RequestLine], str]] = {
+    Grouping.CAUSE: lambda request: (
+        f"{request.outcome}: {_normalised_reason(request.reason)}"
+    ),
+    Grouping.GATEWAY: lambda request: request.gateway,
+    Grouping.ROUTE: lambda request: request.route,
+    Grouping.TARGET: _last_target,
+    Grouping.WORKSPACE: lambda request: request.workspace or NO_WORKSPACE,
 }
--- a/sequoiaarch/observe/logs.py
+++ b/sequoiaarch/observe/logs.py
@@ -1,4 +1,4 @@
-"""Write log lines, each with the fixed prefix of its part."""
+"""Logging set-up in text or JSON format."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 
-def _json_line(record: logbook.LogRecord, handler: logbook.Handler) -> str:
+def _format_json(record: logbook.LogRecord, handler: logbook.Handler) -> str:
     line = {
         "time": record.time.isoformat(),
         "level": record.level_name.lower(),
@@ -28,10 +28,10 @@
 
 
 def set_up_logs(options: LoggingOptions) -> None:
-    """Send the log lines of the process to standard error."""
+    """Write the log of the process to standard error."""
     level = logbook.lookup_level(options.level.value.upper())
     handler = logbook.StreamHandler(sys.stderr, level=level)
     handler.format_string = TEXT_FORMAT
     if options.format is LogFormat.JSON:
-        handler.formatter = _json_line
+        handler.formatter = _format_json
     handler.push_application()
--- a/sequoiaarch/observe/metrics.py
+++ b/sequoiaarch/observe/metrics.py
@@ -1,4 +1,4 @@
-"""Count what the system does, for Prometheus."""
+"""Prometheus metrics of the daemons."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Metrics:
-    """Hold the metrics of one daemon."""
+    """Counters, gauges and histograms of one daemon."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -46,5 +46,5 @@
         )
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return the metrics in a format that the reader accepts."""
+        """Return the metrics in an accepted format, with its response headers."""
         return render(self._registry, [accept or "text/plain"])
--- a/sequoiaarch/observe/request_metrics.py
+++ b/sequoiaarch/observe/request_metrics.py
@@ -1,4 +1,4 @@
-"""Count what an ingress daemon does, for Prometheus."""
+"""Prometheus metrics of an ingress daemon."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class RequestMetrics:
-    """Hold the counters and histograms of one ingress daemon."""
+    """Counters, gauges and histograms of one ingress daemon."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -29,39 +29,41 @@
             registry=self._registry,
         )
         self._duration = self._histogram("request_seconds", "Time to the last byte.")
-        self._first = self._histogram("first_event_seconds", "Time to the first event.")
+        self._first_event = self._histogram(
+            "first_event_seconds", "Time to the first event."
+        )
         self._commit = self._histogram("commit_seconds", "Time of a turn's commit.")
 
     def count_answer(self, route: str, status: int, seconds: float) -> None:
-        """Count an answer."""
+        """Count a response and observe its duration."""
         self._answers.inc({"route": route, "status": str(status)})
         self._duration.observe({"route": route}, seconds)
 
     def count_failure(self, kind: str) -> None:
-        """Count a failure of the daemon's own."""
+        """Count a failure that the daemon itself answered."""
         self._failures.inc({"kind": kind})
 
     def observe_first_event(self, route: str, seconds: float) -> None:
-        """Measure the time to the first event of a stream."""
-        self._first.observe({"route": route}, seconds)
+        """Observe the time to the first event of a stream."""
+        self._first_event.observe({"route": route}, seconds)
 
     def observe_commit(self, seconds: float) -> None:
-        """Measure the commit of a turn."""
+        """Observe the duration of a turn's commit."""
         self._commit.observe({}, seconds)
 
     def set_state(self, name: str, value: float) -> None:
-        """Set a value of the daemon's state."""
+        """Set a named value of the daemon's state."""
         self._state.set({"name": name}, value)
 
     def set_shares(self, free: Mapping[tuple[Workspace, int], float]) -> None:
-        """Set what is left of the shares that are kept here, and 0 for those gone."""
-        gone = dict.fromkeys(self._reported_shares - free.keys(), 0.0)
-        for (workspace, share), left in {**gone, **free}.items():
-            self._shares.set({"workspace": workspace, "share": str(share)}, left)
+        """Set the tokens of all shares kept here, and 0 for those kept before."""
+        removed = dict.fromkeys(self._reported_shares - free.keys(), 0.0)
+        for (workspace, share), tokens in {**removed, **free}.items():
+            self._shares.set({"workspace": workspace, "share": str(share)}, tokens)
         self._reported_shares = set(free)
 
     def text(self) -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         return render(self._registry, ["text/plain"])[0]
 
     def _counter(self, name: str, text: str) -> Counter:
--- a/sequoiaarch/observe/traces.py
+++ b/sequoiaarch/observe/traces.py
@@ -1,4 +1,4 @@
-"""Trace each call with a span for every hop, by W3C trace context."""
+"""Tracing of calls across processes by W3C trace context."""
 
 from __future__ import annotations
 
@@ -23,37 +23,37 @@
 
 from ..wire.messages import SpanData
 
-SPANS_KEPT = 4096
-HEADER = "traceparent"
+MAX_SPANS = 4096
+TRACEPARENT = "traceparent"
 
 
-class _Ring(SpanExporter):
-    """Keep the latest spans in memory."""
+class _SpanBuffer(SpanExporter):
+    """Span exporter that keeps the latest spans in memory."""
 
     def __init__(self) -> None:
-        self.spans: deque[ReadableSpan] = deque(maxlen=SPANS_KEPT)
+        self.spans: deque[ReadableSpan] = deque(maxlen=MAX_SPANS)
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Keep spans that have ended."""
+        """Add ended spans to the buffer."""
         self.spans.extend(spans)
         return SpanExportResult.SUCCESS
 
 
 class Tracing:
-    """Start spans and hand out those that ended."""
+    """Start spans and return those that ended in this process."""
 
     def __init__(self, *, name: str) -> None:
-        self._ring = _Ring()
+        self._buffer = _SpanBuffer()
         resource = Resource({"service.name": name})
         self._provider = TracerProvider(resource=resource, shutdown_on_exit=False)
-        self._provider.add_span_processor(SimpleSpanProcessor(self._ring))
+        self._provider.add_span_processor(SimpleSpanProcessor(self._buffer))
         self._tracer = self._provider.get_tracer("sequoiaarch")
         self._propagator = TraceContextTextMapPropagator()
         self._name = name
 
     def start(self, name: str, parent: str, **attributes: str | int) -> Span:
-        """Start a span below the parent that a traceparent text names."""
-        context = self._propagator.extract({HEADER: parent} if parent else {})
+        """Start a span whose parent is given by a traceparent header, if any."""
+        context = self._propagator.extract({TRACEPARENT: parent} if parent else {})
         span = self._tracer.start_span(name, context=context)
         span.set_attribute("process", self._name)
         for key, value in attributes.items():
@@ -61,28 +61,28 @@
         return span
 
     def traceparent(self, span: Span) -> str:
-        """Return the traceparent text that names a span as the parent."""
+        """Return the traceparent header value of a span."""
         carrier: dict[str, str] = {}
         self._propagator.inject(carrier, set_span_in_context(span, Context()))
-        return carrier.get(HEADER, "")
+        return carrier.get(TRACEPARENT, "")
 
     def spans(self, trace_id: str) -> list[SpanData]:
-        """Return the spans of a trace that ended here."""
-        found = [span for span in list(self._ring.spans) if span.context]
+        """Return the ended spans of a trace in this process."""
+        found = [span for span in list(self._buffer.spans) if span.context]
         return [
-            _data(span)
+            _span_data(span)
             for span in found
             if format_trace_id(span.context.trace_id) == trace_id
         ]
 
 
 def trace_id_of(traceparent: str) -> str:
-    """Return the trace id in a traceparent text."""
+    """Return the trace id of a traceparent header, or an empty text."""
     parts = traceparent.split("-")
     return parts[1] if len(parts) == 4 else ""
 
 
-def _data(span: ReadableSpan) -> SpanData:
+def _span_data(span: ReadableSpan) -> SpanData:
     parent = format_span_id(span.parent.span_id) if span.parent else None
     return SpanData(
         trace_id=format_trace_id(span.context.trace_id),
@@ -96,18 +96,18 @@
 
 
 def render_tree(spans: list[SpanData]) -> list[str]:
-    """Return the spans as the lines of a tree, in order of their start."""
-    known = {span.span_id for span in spans}
+    """Return the spans as an indented tree, ordered by start time."""
+    span_ids = {span.span_id for span in spans}
     children: dict[str | None, list[SpanData]] = {}
     for span in sorted(spans, key=lambda one: one.start):
-        parent = span.parent_id if span.parent_id in known else None
+        parent = span.parent_id if span.parent_id in span_ids else None
         children.setdefault(parent, []).append(span)
     lines: list[str] = []
-    _render(children, None, 0, lines)
+    _render_children(children, None, 0, lines)
     return lines
 
 
-def _render(
+def _render_children(
     children: dict[str | None, list[SpanData]],
     parent: str | None,
     depth: int,
@@ -117,4 +117,4 @@
         milliseconds = (span.end - span.start) / 1e6
         notes = " ".join(f"{key}={value}" for key, value in span.attributes.items())
         lines.append(f"{'  ' * depth}{span.name} {milliseconds:.1f} ms  {notes}")
-        _render(children, span.span_id, depth + 1, lines)
+        _render_children(children, span.span_id, depth + 1, lines)
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -13,7 +13,7 @@
 from ..fleet.peers import Peers, PeerServer
 from ..ingress.daemon import IngressDaemon
 from ..ingress.sources import Sources
-from ..observe.events import EventLog, events_to
+from ..observe.events import EventLog, events_written_to
 from ..storage.direct import DirectCaller
 from ..storage.hedged import HedgedCaller
 from ..storage.relayed import RelayedCaller, Way
@@ -82,7 +82,7 @@
 def run() -> int:
     """Run the gateway until it is stopped; return the exit code."""
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
-    with events_to(sys.stdout.fileno()) as events:
+    with events_written_to(sys.stdout.fileno()) as events:
         try:
             asyncio.run(_run_gateway(path, events))
         except (OSError, ValueError, zmq.ZMQError) as error:
--- a/sequoiaarch/tests/observe/__init__.py
+++ b/sequoiaarch/tests/observe/__init__.py
@@ -1,1 +1,1 @@
-"""Test package observe."""
+"""Tests of the observe package."""
--- a/sequoiaarch/tests/observe/failures_tests.py
+++ b/sequoiaarch/tests/observe/failures_tests.py
@@ -1,4 +1,4 @@
-"""Test the table of failures that on-call engineers make from logs."""
+"""Test the summary of failed requests from logs."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     steps: tuple[str, ...] = (),
     workspace: str | None = None,
 ) -> str:
-    """Return a line as a gateway writes it."""
+    """Return the log line of a request."""
     found = {
         "time": time,
         "event": "request",
@@ -55,10 +55,10 @@
 
 
 class FailuresTests(unittest.TestCase):
-    """Count causes in a handful of lines."""
+    """Summarise a few log lines."""
 
     def test_programs_of_two_workspaces(self) -> None:
-        """Tell apart programs of two workspaces that share an id."""
+        """Distinguish programs with the same id in different workspaces."""
         lines = [
             line(1.0, "p", "overloaded", workspace="one"),
             line(1.1, "p", "answered", workspace="one"),
@@ -70,8 +70,8 @@
         expected = {"one": (1, 0), "two": (1, 1), "no workspace": (1, 1)}
         self.assertEqual(counts, expected)
 
-    def test_rows(self) -> None:
-        """Put equal causes together, and tell where programs were given up."""
+    def test_failures_by_cause_and_span(self) -> None:
+        """Group failures by cause and span, and count programs given up."""
         rows = count_failures(read_requests(LINES), 1.0)
         self.assertEqual(len(rows), 2)
         first, second = rows
@@ -80,8 +80,8 @@
         self.assertEqual((second.start, second.last), (1.0, 1))
         self.assertEqual(second.reason, "no answer in # s")
 
-    def test_groups(self) -> None:
-        """Tell how many gateways a target failed, and for how long."""
+    def test_failures_by_group(self) -> None:
+        """Count requests and gateways by target, gateway and route."""
         tried = ("x-1 chosen: running=0", "x-1:not run 503", "x-2 chosen: running=0")
         lines = [
             "host-1 " + line(100.0, "a", "answered", "", ("x-2 chosen: near",)),
@@ -100,11 +100,11 @@
         self.assertEqual([(row.group, row.requests) for row in routes], [("calls", 3)])
 
     def test_no_requests(self) -> None:
-        """Return nothing for logs without requests."""
+        """Return no rows for logs without requests."""
         self.assertEqual(count_failures(read_requests(["x"]), 1.0), [])
 
     def test_command(self) -> None:
-        """Print a table, or JSON, and refuse what can't be read."""
+        """Print a table or JSON, and reject a missing file."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "gateway.log"
             path.write_text("\n".join(LINES))
