--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -14,10 +14,10 @@
 from ..routing.targets import TargetEntry
 from ..workspaces.access import Caller
 from ..workspaces.quotas import Credit, quota_failure
-from .calls import AnswerInfo, CallInfo, Dispatch
+from .calls import Dispatch, RequestInfo, ResponseInfo
 from .dispatcher import Dispatcher
 
-# Targets that may reject one request; the others are likely full as well.
+# Targets that may refuse one request; the others are likely full as well.
 MAX_REFUSALS = 3
 # Seconds after which callers of an overloaded service should retry.
 BUSY_RETRY_AFTER = 0.25
@@ -31,7 +31,7 @@
     target: TargetEntry
     link: ClientLink
     head: ResponseHead
-    answer: AnswerInfo
+    info: ResponseInfo
     body_started: bool = False
 
 
@@ -46,7 +46,7 @@
         self,
         *,
         message: RequestMessage,
-        info: CallInfo,
+        info: RequestInfo,
         caller: Caller,
         credit: Credit,
         route: Route,
@@ -94,7 +94,7 @@
         if complete:
             load.record_result(instance, ok=response.head.status < SERVER_ERROR)
             self._dispatcher.pool.release(
-                response.target, response.link, response.answer.idle_limit
+                response.target, response.link, response.info.idle_limit
             )
         else:
             response.link.abort()
@@ -102,8 +102,8 @@
     def may_repeat(self, error: LinkError) -> bool:
         """Take from the retry budget after a break; return whether to retry."""
         self.steps.append(f"broken:{error.fault.name}")
-        left = self._send_count < self._route.max_attempts
-        return self._route.repeatable and left and self._dispatcher.retries.take()
+        sends_left = self._send_count < self._route.max_attempts
+        return self._route.repeatable and sends_left and self._dispatcher.retries.take()
 
     def response_broken(self, response: TargetResponse) -> None:
         """Record that a target's response ended early."""
@@ -183,15 +183,15 @@
     ) -> TargetResponse | None:
         while True:
             head = await link.head()
-            answer = self._dispatcher.codec.read_response(head)
-            if answer.attempt is None or answer.attempt == self._info.attempt:
+            info = self._dispatcher.codec.read_response(head)
+            if info.attempt is None or info.attempt == self._info.attempt:
                 break
             self.steps.append("skipped response of another attempt")
             await link.skip_response()
-        if answer.not_run:
-            await self._skip_response(target, link, head, answer)
+        if info.not_run:
+            await self._skip_response(target, link, head, info)
             return None
-        if answer.coded:
+        if info.coded:
             # No content encoding was requested.
             raise LinkError(
                 LinkFault.GARBLED,
@@ -199,27 +199,27 @@
                 sent=True,
             )
         self.steps.append(f"{target.instance}:{head.status}")
-        return TargetResponse(target=target, link=link, head=head, answer=answer)
+        return TargetResponse(target=target, link=link, head=head, info=info)
 
     async def _skip_response(
         self,
         target: TargetEntry,
         link: ClientLink,
         head: ResponseHead,
-        answer: AnswerInfo,
+        info: ResponseInfo,
     ) -> None:
         """Read the rest of a response that reports the request as not run."""
         self._send_count -= 1
         self.steps.append(f"{target.instance}:not run {head.status}")
         while await link.body_part() is not None:
             pass
-        self._dispatcher.pool.release(target, link, answer.idle_limit)
+        self._dispatcher.pool.release(target, link, info.idle_limit)
 
     def _outgoing_request(self, target: TargetEntry) -> RequestMessage:
-        left = self._deadline - asyncio.get_running_loop().time()
+        remaining = self._deadline - asyncio.get_running_loop().time()
         dispatch = Dispatch(
             instance=target.instance,
-            deadline=left,
+            deadline=remaining,
             body=self.body,
             urgency=self._urgency(),
             workspace=self._caller.workspace,
--- a/sequoiaarch/ingress/calls.py
+++ b/sequoiaarch/ingress/calls.py
@@ -31,7 +31,7 @@
     tokens: int
 
 
-class CallInfo(msgspec.Struct, frozen=True, kw_only=True):
+class RequestInfo(msgspec.Struct, frozen=True, kw_only=True):
     """Metadata of a caller's request; times in seconds from its arrival.
 
     `most_tokens` is the maximum number of generated tokens and `expected_tokens`
@@ -73,7 +73,7 @@
     workspace: Workspace | None = None
 
 
-class AnswerInfo(msgspec.Struct, frozen=True, kw_only=True):
+class ResponseInfo(msgspec.Struct, frozen=True, kw_only=True):
     """Metadata of a target's response.
 
     `not_run` tells that the target did not run the request, `idle_limit` after how
@@ -92,13 +92,13 @@
 class CallCodec(Protocol):
     """Decode and encode the headers of callers and targets."""
 
-    def read_request(self, message: RequestMessage) -> CallInfo:
+    def read_request(self, message: RequestMessage) -> RequestInfo:
         """Return the metadata of a request; raises ValueError."""
 
     def forward(self, message: RequestMessage, dispatch: Dispatch) -> RequestMessage:
         """Return the request to send to the target."""
 
-    def read_response(self, head: ResponseHead) -> AnswerInfo:
+    def read_response(self, head: ResponseHead) -> ResponseInfo:
         """Return the metadata of a target's response."""
 
     def failure_headers(self, attempt: AttemptId, retry_after: float | None) -> Headers:
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -233,7 +233,7 @@
         """Start listening and the background tasks."""
         await self._ready.start(*self._options.ready)
         await self.front.start(*self._options.front)
-        self._tasks = [asyncio.create_task(part) for part in self._background]
+        self._tasks = [asyncio.create_task(coroutine) for coroutine in self._background]
         log.info("started as {}, writer {}", self._options.host, self.ledger.writer)
 
     async def stop(self) -> None:
@@ -244,8 +244,8 @@
             self._fleet.refuse_new()
         await asyncio.sleep(UNREADY_NOTICE)
         self.front.stop_accepting()
-        left = self._options.stop_timeout - UNREADY_NOTICE - STOP_RESERVE
-        drained = await self.front.drained(left, also=self._peer_turns_open)
+        remaining = self._options.stop_timeout - UNREADY_NOTICE - STOP_RESERVE
+        drained = await self.front.drained(remaining, also=self._peer_turns_open)
         await self._flush_records()
         log.info("stopped, all requests answered: {}", drained)
         await self.close()
@@ -254,7 +254,7 @@
         return self._fleet is not None and self._fleet.open_turns > 0
 
     async def _flush_records(self) -> None:
-        """Write queued records, within a part of the stop timeout."""
+        """Write queued records to the store, with a short timeout."""
         try:
             async with asyncio.timeout(STOP_RESERVE / 2):
                 await self.ledger.flush()
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -16,7 +16,7 @@
 from ..routing.targets import TargetEntry, Targets
 from ..storage.relayed import Way
 from ..workspaces.access import Access
-from .calls import CallCodec, CallInfo
+from .calls import CallCodec, RequestInfo
 from .load import LoadTracker
 from .pool import ConnectionPool
 
@@ -58,7 +58,7 @@
         health.passed_over = self.pool.forget
 
     def choose(
-        self, route: Route, info: CallInfo, tried: set[InstanceId]
+        self, route: Route, info: RequestInfo, tried: set[InstanceId]
     ) -> tuple[TargetEntry | None, str]:
         """Return an untried target for a request and the reason for the choice."""
         service = self._pick_service(route)
@@ -75,12 +75,12 @@
         chosen = next(entry for entry in entries if entry.incarnation == instance)
         return chosen, reason
 
-    def start_retry_after(self, route: Route, info: CallInfo) -> float | None:
+    def start_retry_after(self, route: Route, info: RequestInfo) -> float | None:
         """Return the retry delay for a new program, or None to admit it."""
         service = self._pick_service(route)
         waits = [
-            self.load.expected_wait(one.incarnation)
-            for one in self._targets.of(service)
+            self.load.expected_wait(entry.incarnation)
+            for entry in self._targets.of(service)
         ]
         if not waits:
             return None
@@ -92,7 +92,7 @@
         return self._starts.refuse(start)
 
     def request_sent(
-        self, entry: TargetEntry, route: Route, info: CallInfo, request: object
+        self, entry: TargetEntry, route: Route, info: RequestInfo, request: object
     ) -> None:
         """Start tracking when the first event or response of a request is due."""
         if not route.sticky:
@@ -124,18 +124,20 @@
 
     def event_tokens(self, service: ServiceName) -> int:
         """Return the number of tokens in each stream event of a service."""
-        found = self.routes.services.get(service) if self.routes else None
-        if found is None or found.engine is None:
+        settings = self.routes.services.get(service) if self.routes else None
+        if settings is None or settings.engine is None:
             return 1
-        return found.engine.event_tokens
+        return settings.engine.event_tokens
 
     def urgency(
-        self, route: Route, info: CallInfo, rank: int, spent: float
+        self, route: Route, info: RequestInfo, rank: int, budget_used: float
     ) -> int | None:
         """Return the urgency of a request to an engine; None for other services."""
         if not route.sticky:
             return None
-        standing = ProgramStanding(rank=rank, left=info.program_deadline, spent=spent)
+        standing = ProgramStanding(
+            rank=rank, left=info.program_deadline, spent=budget_used
+        )
         return self._urgency.of(standing)
 
     def _pick_service(self, route: Route) -> ServiceName:
@@ -155,7 +157,7 @@
         )
 
 
-def _prompt_shape(info: CallInfo) -> PromptShape:
-    parts = tuple((one.part, one.tokens) for one in info.prefix)
+def _prompt_shape(info: RequestInfo) -> PromptShape:
+    parts = tuple((part.part, part.tokens) for part in info.prefix)
     last = parts[-1][0] if parts else ""
     return PromptShape(parts=parts, owner=info.program or last)
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -19,7 +19,7 @@
 from ..workspaces.directory import scoped
 from ..workspaces.quotas import Credit, Quotas
 from .attempts import Attempts, TargetResponse
-from .calls import CallInfo
+from .calls import RequestInfo
 from .dispatcher import Dispatcher
 
 # Seconds after which to retry while the store is unreachable, directly and through
@@ -43,7 +43,7 @@
         self,
         *,
         message: RequestMessage,
-        info: CallInfo,
+        info: RequestInfo,
         caller: Caller,
         route: Route,
         reply: Reply,
@@ -102,7 +102,7 @@
 
     async def _run_turn(self, budget: int) -> None:
         """Run a turn of a program within its token budget."""
-        await self._check_start()
+        await self._check_admission()
         turn = await self._open_turn(budget)
         self.steps.append(f"spent {turn.spent} of {budget} tokens, kept {turn.where}")
         self._attempts.budget_used = turn.spent / max(1, budget)
@@ -120,7 +120,7 @@
         """Reserve tokens for the turn and load its history; raises FailureError."""
         route, info = self._route, self._info
         workspace = self._caller.workspace
-        left = self._deadline - asyncio.get_running_loop().time()
+        remaining = self._deadline - asyncio.get_running_loop().time()
         start = TurnStart(
             terms=TurnTerms(
                 turn=scoped(workspace, TurnId(info.attempt)),
@@ -132,14 +132,14 @@
             ),
             previous=info.previous and scoped(workspace, info.previous),
             kept=route.retained,
-            lifetime=left + TURN_LIFETIME_MARGIN,
+            lifetime=remaining + TURN_LIFETIME_MARGIN,
         )
         opened = await self._turns.open(start)
         if isinstance(opened, Lookup | BudgetVerdict):
             raise _turn_failure(opened, info.previous)
         return opened
 
-    async def _check_start(self) -> None:
+    async def _check_admission(self) -> None:
         """Refuse the first request of a new program while all engines are full."""
         info = self._info
         if info.previous is not None:
@@ -166,7 +166,7 @@
                 continue
             head = response.head
             await self._reply.whole(
-                head.status, response.answer.headers, body, head.reason
+                head.status, response.info.headers, body, head.reason
             )
             return
 
@@ -215,7 +215,7 @@
                 body = await self._read_body(response)
                 complete = True
                 head = response.head
-                headers = response.answer.headers
+                headers = response.info.headers
                 await self._reply.whole(head.status, headers, body, head.reason)
                 return
             complete = await self._relay(response, output)
@@ -287,7 +287,7 @@
         head = response.head
         await self._reply.start(
             ResponseHead(
-                status=head.status, reason=head.reason, headers=response.answer.headers
+                status=head.status, reason=head.reason, headers=response.info.headers
             )
         )
 
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -19,13 +19,13 @@
 from ..routing.routes import Route, RouteTable
 from ..workspaces.access import Caller
 from ..workspaces.quotas import Quotas
-from .calls import CallInfo
+from .calls import RequestInfo
 from .dispatcher import Dispatcher
 from .exchange import Exchange
 
 log = logbook.Logger("request")
 
-# Assumed network delay from the caller, in seconds; its deadline runs since then.
+# Assumed network delay of a request, in seconds, which its deadline includes.
 CALLER_LATENCY = 0.004
 CALLER_LEFT = "caller left"
 UNROUTED = "none"
@@ -36,7 +36,7 @@
     """State of one request, for its log line."""
 
     started: float
-    info: CallInfo | None = None
+    info: RequestInfo | None = None
     routes: RouteTable | None = None
     route: Route | None = None
     caller: Caller | None = None
@@ -83,7 +83,7 @@
         finally:
             self._log_request(request, reply)
 
-    def _read(self, message: RequestMessage) -> CallInfo:
+    def _read(self, message: RequestMessage) -> RequestInfo:
         try:
             return self._dispatcher.codec.read_request(message)
         except ValueError as error:
@@ -101,10 +101,10 @@
             raise fail(ErrorKind.NOT_FOUND, "no route matches the host and path")
         caller = self._dispatcher.access.identify(info.key_text, public=route.public)
         request.caller = caller
-        limit = route.timeout
+        timeout = route.timeout
         if info.deadline is not None:
-            limit = min(limit, info.deadline - CALLER_LATENCY)
-        deadline = request.started + limit
+            timeout = min(timeout, info.deadline - CALLER_LATENCY)
+        deadline = request.started + timeout
         exchange = request.exchange = Exchange(
             message=message,
             info=info,
@@ -122,7 +122,7 @@
             async with asyncio.timeout_at(deadline):
                 await exchange.run()
         except TimeoutError:
-            reason = f"no answer in {limit:.3f} s"
+            reason = f"no answer in {timeout:.3f} s"
             raise fail(ErrorKind.DEADLINE_EXCEEDED, reason) from None
 
     async def _send_failure(
--- a/sequoiaarch/observe/request_metrics.py
+++ b/sequoiaarch/observe/request_metrics.py
@@ -56,7 +56,7 @@
         self._state.set({"name": name}, value)
 
     def set_shares(self, free: Mapping[tuple[Workspace, int], float]) -> None:
-        """Set the tokens of all shares kept here, and 0 for those kept before."""
+        """Set the free tokens of the shares kept here, and 0 for those given up."""
         removed = dict.fromkeys(self._reported_shares - free.keys(), 0.0)
         for (workspace, share), tokens in {**removed, **free}.items():
             self._shares.set({"workspace": workspace, "share": str(share)}, tokens)
--- a/sequoiaarch/observe/traces.py
+++ b/sequoiaarch/observe/traces.py
@@ -99,7 +99,7 @@
     """Return the spans as an indented tree, ordered by start time."""
     span_ids = {span.span_id for span in spans}
     children: dict[str | None, list[SpanData]] = {}
-    for span in sorted(spans, key=lambda one: one.start):
+    for span in sorted(spans, key=lambda span: span.start):
         parent = span.parent_id if span.parent_id in span_ids else None
         children.setdefault(parent, []).append(span)
     lines: list[str] = []
--- a/sequoiaarch/platform/headers.py
+++ b/sequoiaarch/platform/headers.py
@@ -4,7 +4,7 @@
 
 from ..http1.messages import Headers, RequestMessage, ResponseHead, end_to_end
 from ..ids import AttemptId, InstanceId, ProgramId, SessionId, TurnId
-from ..ingress.calls import AnswerInfo, CallInfo, Dispatch, PromptPart, Secret
+from ..ingress.calls import Dispatch, PromptPart, RequestInfo, ResponseInfo, Secret
 
 ATTEMPT = b"x-attempt-id"
 DEADLINE = b"x-deadline-ms"
@@ -45,13 +45,13 @@
 class PlatformCallCodec:
     """Call codec for the platform's header names."""
 
-    def read_request(self, message: RequestMessage) -> CallInfo:
+    def read_request(self, message: RequestMessage) -> RequestInfo:
         """Return the metadata of a request; raises ValueError."""
         headers = {name.lower(): value.strip() for name, value in message.headers}
         usage = _decode_ints(headers.get(USAGE))
         previous = _decode_text(headers.get(PREVIOUS))
         key = _decode_text(headers.get(KEY))
-        return CallInfo(
+        return RequestInfo(
             attempt=AttemptId(_decode_text(headers.get(ATTEMPT)) or ""),
             host=_decode_text(headers.get(b"host")) or "",
             path=message.target.split(b"?", 1)[0].decode("latin-1"),
@@ -89,12 +89,12 @@
             body=dispatch.body,
         )
 
-    def read_response(self, head: ResponseHead) -> AnswerInfo:
+    def read_response(self, head: ResponseHead) -> ResponseInfo:
         """Return the metadata of a target's response."""
         headers = {name.lower(): value.strip() for name, value in head.headers}
         not_run = NOT_RUN in headers or head.status == MISDIRECTED
         attempt = _decode_text(headers.get(ATTEMPT))
-        return AnswerInfo(
+        return ResponseInfo(
             attempt=AttemptId(attempt) if attempt else None,
             not_run=not_run,
             instance=InstanceId(_decode_text(headers.get(INSTANCE)) or ""),
--- a/sequoiaarch/platform/store.py
+++ b/sequoiaarch/platform/store.py
@@ -147,7 +147,9 @@
                 return _invalid_body(call, error)
             if resume is None:
                 resume = page.end_offset
-            records += [one for one in map(_decode_item, page.items) if one is not None]
+            records += [
+                record for record in map(_decode_item, page.items) if record is not None
+            ]
             if not page.has_more or not page.items:
                 return Newest(records=records, resume=Offset(resume))
             after = page.items[-1].key
