--- a/sequoiaarch/ingress/configuration.py
+++ b/sequoiaarch/ingress/configuration.py
@@ -56,7 +56,7 @@
         try:
             routes = self._sources.decode_routes(record.value)
         except ValueError as error:
-            log.error("configuration can't be decoded and is ignored: {}", error)
+            log.error("configuration can't be read, ignoring it: {}", error)
             return
         if self._version is not None and routes.version <= self._version:
             return
