--- a/sequoiaarch/http1/client.py
+++ b/sequoiaarch/http1/client.py
@@ -14,7 +14,7 @@
 PAUSE_ABOVE_BYTES = 256 * 1024
 
 
-class ClientLink(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """Hold one connection to a target and the exchange on it.
 
     Bytes that arrive while no request waits belong to no request: they make
@@ -207,12 +207,12 @@
             self._waiter.set_result(None)
 
 
-async def connect(address: tuple[str, int], *, timeout: float) -> ClientLink:
+async def connect(address: tuple[str, int], *, timeout: float) -> ClientConnection:
     """Return a link to an address; the time in seconds."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout):
-            _, link = await loop.create_connection(ClientLink, *address)
+            _, link = await loop.create_connection(ClientConnection, *address)
     except TimeoutError:
         raise LinkError(LinkFault.TIMEOUT, "connecting", sent=False) from None
     except OSError as error:
--- a/sequoiaarch/http1/idle.py
+++ b/sequoiaarch/http1/idle.py
@@ -7,7 +7,7 @@
 from collections.abc import Hashable
 from typing import Generic, TypeVar
 
-from .client import ClientLink
+from .client import ClientConnection
 
 Key = TypeVar("Key", bound=Hashable)
 
@@ -17,9 +17,9 @@
 
     def __init__(self, *, most: int | None = None) -> None:
         self._most = most
-        self._links: dict[Key, list[ClientLink]] = defaultdict(list)
+        self._links: dict[Key, list[ClientConnection]] = defaultdict(list)
 
-    def take(self, key: Key) -> ClientLink | None:
+    def take(self, key: Key) -> ClientConnection | None:
         """Return a usable link, if there is one."""
         kept = self._links[key]
         while kept:
@@ -29,7 +29,7 @@
             link.abort()
         return None
 
-    def give_back(self, key: Key, link: ClientLink, limit: float) -> None:
+    def give_back(self, key: Key, link: ClientConnection, limit: float) -> None:
         """Keep a link whose exchange was complete for `limit` seconds, or close it."""
         if not link.finish():
             return
@@ -65,5 +65,5 @@
         self._links.clear()
 
 
-def _usable(link: ClientLink) -> bool:
+def _usable(link: ClientConnection) -> bool:
     return link.usable and asyncio.get_running_loop().time() < link.idle_until
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ..errors import ErrorKind, FailureError, fail
-from ..http1.client import ClientLink
+from ..http1.client import ClientConnection
 from ..http1.messages import LinkError, LinkFault, RequestMessage, ResponseHead
 from ..ids import InstanceId
 from ..policies.health import next_event_due
@@ -30,7 +30,7 @@
     """Hold a request that a target answers; `begun` says that a part has come."""
 
     target: TargetEntry
-    link: ClientLink
+    link: ClientConnection
     head: ResponseHead
     answer: AnswerInfo
     begun: bool = False
@@ -142,7 +142,7 @@
         load = self._dispatcher.load
         load.started(target.incarnation)
         running: Running | None = None
-        link: ClientLink | None = None
+        link: ClientConnection | None = None
         token: float | None = None
         try:
             link = await self._dispatcher.pool.take(target)
@@ -170,12 +170,12 @@
                 load.ended(target.incarnation)
         return running
 
-    def _abort(self, link: ClientLink | None) -> None:
+    def _abort(self, link: ClientConnection | None) -> None:
         if link is not None:
             link.abort()
 
     async def _await_head(
-        self, target: TargetEntry, link: ClientLink
+        self, target: TargetEntry, link: ClientConnection
     ) -> Running | None:
         while True:
             head = await link.head()
@@ -196,7 +196,7 @@
     async def _not_run(
         self,
         target: TargetEntry,
-        link: ClientLink,
+        link: ClientConnection,
         head: ResponseHead,
         answer: AnswerInfo,
     ) -> None:
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from ..http1.client import ClientLink, connect
+from ..http1.client import ClientConnection, connect
 from ..http1.idle import IdleLinks
 from ..ids import InstanceId
 from ..routing.targets import TargetEntry
@@ -26,7 +26,7 @@
         self._idle: IdleLinks[InstanceId] = IdleLinks()
         self.opened = 0
 
-    async def take(self, target: TargetEntry) -> ClientLink:
+    async def take(self, target: TargetEntry) -> ClientConnection:
         """Return a usable link; raises LinkError."""
         link = self._idle.take(target.incarnation)
         if link is not None:
@@ -35,7 +35,7 @@
         return await connect(target.address, timeout=CONNECT_TIMEOUT)
 
     def give_back(
-        self, target: TargetEntry, link: ClientLink, idle_limit: float | None
+        self, target: TargetEntry, link: ClientConnection, idle_limit: float | None
     ) -> None:
         """Keep a link whose exchange was complete, or close it."""
         limit = IDLE_LIMIT if idle_limit is None else idle_limit - IDLE_MARGIN
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from ..errors import Failure
-from ..http1.client import ClientLink, connect
+from ..http1.client import ClientConnection, connect
 from ..http1.idle import IdleLinks
 from ..http1.messages import LinkError, RequestMessage
 from .calls import StoreCall, StoreReply, unavailable
@@ -25,7 +25,7 @@
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Make a call and return its answer, or why there is none."""
-        link: ClientLink | None = None
+        link: ClientConnection | None = None
         try:
             async with asyncio.timeout(call.timeout):
                 link = await self._take()
@@ -39,11 +39,11 @@
                 self._idle.give_back(None, link, IDLE_LIMIT)
         return reply
 
-    async def _take(self) -> ClientLink:
+    async def _take(self) -> ClientConnection:
         link = self._idle.take(None)
         return link or await connect(self._address, timeout=CONNECT_TIMEOUT)
 
-    async def _exchange(self, link: ClientLink, call: StoreCall) -> StoreReply:
+    async def _exchange(self, link: ClientConnection, call: StoreCall) -> StoreReply:
         host, port = self._address
         headers = [(b"Host", f"{host}:{port}".encode())]
         await link.send(
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -7,7 +7,7 @@
 
 import logbook
 
-from ...http1.client import ClientLink, connect
+from ...http1.client import ClientConnection, connect
 from ...http1.events import EventSplitter, event_data
 from ...http1.messages import LinkError, LinkFault, RequestMessage
 from ...http1.server import Server
@@ -31,7 +31,7 @@
     return RequestMessage(method=b"POST", target=b"/path", headers=headers, body=body)
 
 
-async def whole(link: ClientLink) -> bytes:
+async def whole(link: ClientConnection) -> bytes:
     """Return the body of the answer that comes next."""
     body = b""
     while (part := await link.body_part()) is not None:
@@ -42,7 +42,7 @@
 class ClientLinkTests(unittest.IsolatedAsyncioTestCase):
     """Test the link to a target that misbehaves."""
 
-    async def serve(self, *parts: bytes, reset: bool = False) -> ClientLink:
+    async def serve(self, *parts: bytes, reset: bool = False) -> ClientConnection:
         """Return a link to a target that answers a request with these bytes."""
 
         async def behave(exchange: TargetExchange) -> None:
@@ -61,7 +61,7 @@
         self.addCleanup(link.abort)
         return link
 
-    async def fault(self, link: ClientLink) -> LinkFault:
+    async def fault(self, link: ClientConnection) -> LinkFault:
         """Return how an exchange fails."""
         with self.assertRaises(LinkError) as caught:
             await link.send(request(1))
--- a/sequoiaarch/tests/platform/site.py
+++ b/sequoiaarch/tests/platform/site.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ...fleet.peers import Peers
-from ...http1.client import ClientLink, connect
+from ...http1.client import ClientConnection, connect
 from ...http1.messages import LinkError, RequestMessage
 from ...ids import DataCentre, HostName
 from ...ingress.daemon import IngressDaemon
@@ -291,7 +291,7 @@
         )
 
 
-async def _exchange(link: ClientLink, message: RequestMessage) -> Answer:
+async def _exchange(link: ClientConnection, message: RequestMessage) -> Answer:
     answer = Answer(status=0, whole=False)
     try:
         await link.send(message)
--- a/sequoiaarch/tests/platform/soak/callers.py
+++ b/sequoiaarch/tests/platform/soak/callers.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
-from ....http1.client import ClientLink, connect
+from ....http1.client import ClientConnection, connect
 from ....http1.messages import LinkError, RequestMessage
 from ..site import EVENT_TOKENS, HOST, events_of
 from .gateways import Gateway
@@ -228,7 +228,7 @@
 
 
 async def exchange(
-    link: ClientLink,
+    link: ClientConnection,
     path: str,
     attempt: str,
     body: bytes,
@@ -297,7 +297,7 @@
             finally:
                 link.abort()
 
-    async def _use(self, link: ClientLink, until: float) -> None:
+    async def _use(self, link: ClientConnection, until: float) -> None:
         while asyncio.get_running_loop().time() < until:
             attempt = f"{self._rng.getrandbits(64):016x}"
             self._tally.repeatable.add(attempt)
