--- a/sequoiaarch/http1/client.py
+++ b/sequoiaarch/http1/client.py
@@ -7,7 +7,7 @@
 
 import h11
 
-from .messages import Headers, LinkError, LinkFault, RequestMessage, ResponseHead
+from .messages import ExchangeError, Headers, LinkFault, RequestMessage, ResponseHead
 from .sockets import watch_peer
 
 MAX_INCOMPLETE_BYTES = 64 * 1024
@@ -100,7 +100,7 @@
         data += self._http.send(h11.EndOfMessage()) or b""
         transport = self._transport
         if transport is None or transport.is_closing():
-            raise LinkError(LinkFault.RESET, "before the request", sent=False)
+            raise ExchangeError(LinkFault.RESET, "before the request", sent=False)
         self._sent = True
         transport.write(data)
         await self._writable.wait()
@@ -112,7 +112,7 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise LinkError(LinkFault.GARBLED, "no status line", sent=True)
+                raise ExchangeError(LinkFault.GARBLED, "no status line", sent=True)
             headers: Headers = list(event.headers.raw_items())
             return ResponseHead(
                 status=event.status_code, reason=bytes(event.reason), headers=headers
@@ -125,7 +125,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise LinkError(LinkFault.GARBLED, "unexpected event", sent=True)
+        raise ExchangeError(LinkFault.GARBLED, "unexpected event", sent=True)
 
     async def skip_response(self) -> None:
         """Read past a response that answers another request, and await ours.
@@ -175,19 +175,19 @@
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
                 fault = LinkFault.TRUNCATED if self._ended else LinkFault.GARBLED
-                raise LinkError(fault, str(error), sent=self._sent) from None
+                raise ExchangeError(fault, str(error), sent=self._sent) from None
             if event is h11.NEED_DATA:
                 await self._more()
                 continue
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                raise LinkError(LinkFault.TRUNCATED, "closed", sent=self._sent)
+                raise ExchangeError(LinkFault.TRUNCATED, "closed", sent=self._sent)
             return cast(h11.Event, event)
 
     async def _more(self) -> None:
         """Feed received bytes to the parser, waiting for some."""
         while not self._received:
             if self._error is not None:
-                raise LinkError(LinkFault.RESET, str(self._error), sent=self._sent)
+                raise ExchangeError(LinkFault.RESET, str(self._error), sent=self._sent)
             if self._ended:
                 self._http.receive_data(b"")
                 return
@@ -214,7 +214,7 @@
         async with asyncio.timeout(timeout):
             _, link = await loop.create_connection(ClientConnection, *address)
     except TimeoutError:
-        raise LinkError(LinkFault.TIMEOUT, "connecting", sent=False) from None
+        raise ExchangeError(LinkFault.TIMEOUT, "connecting", sent=False) from None
     except OSError as error:
-        raise LinkError(LinkFault.REFUSED, str(error), sent=False) from None
+        raise ExchangeError(LinkFault.REFUSED, str(error), sent=False) from None
     return link
--- a/sequoiaarch/http1/messages.py
+++ b/sequoiaarch/http1/messages.py
@@ -60,7 +60,7 @@
     TIMEOUT = "no answer came in time"
 
 
-class LinkError(Exception):
+class ExchangeError(Exception):
     """Carry a failed exchange; `sent` says whether bytes of it went out."""
 
     def __init__(self, fault: LinkFault, detail: str = "", *, sent: bool) -> None:
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -7,7 +7,7 @@
 
 from ..errors import ErrorKind, FailureError, fail
 from ..http1.client import ClientConnection
-from ..http1.messages import LinkError, LinkFault, RequestMessage, ResponseHead
+from ..http1.messages import ExchangeError, LinkFault, RequestMessage, ResponseHead
 from ..ids import InstanceId
 from ..policies.health import next_event_due
 from ..routing.routes import Route
@@ -100,7 +100,7 @@
         else:
             running.link.abort()
 
-    def may_repeat(self, error: LinkError) -> bool:
+    def may_repeat(self, error: ExchangeError) -> bool:
         """Return whether a request may be sent again after a broken attempt."""
         self.trail.append(f"broken:{error.fault.name}")
         left = self._sends < self._route.max_attempts
@@ -154,7 +154,7 @@
             running = await self._await_head(target, link)
             if running is None:
                 self._credit.restore(token)
-        except LinkError as error:
+        except ExchangeError as error:
             load.judged(target.incarnation, ok=False)
             self._abort(link)
             if not error.sent:
@@ -189,7 +189,7 @@
             return None
         if answer.coded:
             # Nobody asked for an encoding: these are not the target's bytes.
-            raise LinkError(LinkFault.GARBLED, "the body is encoded", sent=True)
+            raise ExchangeError(LinkFault.GARBLED, "the body is encoded", sent=True)
         self.trail.append(f"{target.instance}:{head.status}")
         return Running(target=target, link=link, head=head, answer=answer)
 
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -6,7 +6,7 @@
 
 from ..errors import ErrorKind, FailureError, fail
 from ..http1.events import EventSplitter, event_data
-from ..http1.messages import LinkError, LinkFault, RequestMessage, ResponseHead
+from ..http1.messages import ExchangeError, LinkFault, RequestMessage, ResponseHead
 from ..http1.server_link import Reply
 from ..ids import TurnId
 from ..ledger.ledger import Ledger
@@ -159,11 +159,11 @@
             try:
                 async with asyncio.timeout(self._patience()):
                     running, body = await self._whole_answer()
-            except LinkError as error:
+            except ExchangeError as error:
                 self._after_break(error)
                 continue
             except TimeoutError:
-                self._after_break(LinkError(LinkFault.TIMEOUT, sent=True))
+                self._after_break(ExchangeError(LinkFault.TIMEOUT, sent=True))
                 continue
             head = running.head
             await self._reply.whole(
@@ -187,7 +187,7 @@
         try:
             body = await self._whole_body(running)
             whole = True
-        except LinkError:
+        except ExchangeError:
             self._attempts.broke(running)
             raise
         finally:
@@ -202,7 +202,7 @@
                 raise fail(ErrorKind.TARGET_FAILED, "the answer is too large")
         return bytes(body)
 
-    def _after_break(self, error: LinkError) -> None:
+    def _after_break(self, error: ExchangeError) -> None:
         """Return if the request may be sent again after a broken answer."""
         if not self._attempts.may_repeat(error):
             raise fail(ErrorKind.INTERRUPTED, str(error)) from error
@@ -220,7 +220,7 @@
                 await self._reply.whole(head.status, headers, body, head.reason)
                 return
             whole = await self._relay(running, output)
-        except LinkError as error:
+        except ExchangeError as error:
             self._attempts.broke(running)
             self.trail.append(f"broken:{error.fault.name}")
             if not self._reply.started:
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -7,7 +7,7 @@
 from ..errors import Failure
 from ..http1.client import ClientConnection, connect
 from ..http1.idle import IdleLinks
-from ..http1.messages import LinkError, RequestMessage
+from ..http1.messages import ExchangeError, RequestMessage
 from .calls import StoreCall, StoreReply, unavailable
 
 # Seconds. A store that is away does not refuse, it stays silent.
@@ -32,7 +32,7 @@
                 reply = await self._exchange(link, call)
         except TimeoutError:
             return unavailable(call, f"no answer in {call.timeout:.1f} s")
-        except LinkError as error:
+        except ExchangeError as error:
             return unavailable(call, str(error))
         finally:
             if link is not None:
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -9,7 +9,7 @@
 
 from ...http1.client import ClientConnection, connect
 from ...http1.events import EventSplitter, event_data
-from ...http1.messages import LinkError, LinkFault, RequestMessage
+from ...http1.messages import ExchangeError, LinkFault, RequestMessage
 from ...http1.server import Server
 from ...http1.server_link import Reply, ServerLimits
 from ...http1.sockets import reset_on_close
@@ -63,7 +63,7 @@
 
     async def fault(self, link: ClientConnection) -> LinkFault:
         """Return how an exchange fails."""
-        with self.assertRaises(LinkError) as caught:
+        with self.assertRaises(ExchangeError) as caught:
             await link.send(request(1))
             await link.head()
             await whole(link)
@@ -85,7 +85,7 @@
         await link.send(request(1))
         await link.head()
         self.target.exchanges[0].close()
-        with self.assertRaises(LinkError) as caught:
+        with self.assertRaises(ExchangeError) as caught:
             await whole(link)
         self.assertIs(caught.exception.fault, LinkFault.TRUNCATED)
 
--- a/sequoiaarch/tests/platform/site.py
+++ b/sequoiaarch/tests/platform/site.py
@@ -11,7 +11,7 @@
 
 from ...fleet.peers import Peers
 from ...http1.client import ClientConnection, connect
-from ...http1.messages import LinkError, RequestMessage
+from ...http1.messages import ExchangeError, RequestMessage
 from ...ids import DataCentre, HostName
 from ...ingress.daemon import IngressDaemon
 from ...ingress.options import IngressOptions, StoreOptions
@@ -303,6 +303,6 @@
         while (part := await link.body_part()) is not None:
             answer.body += part
         answer.whole = True
-    except LinkError:
+    except ExchangeError:
         answer.whole = False
     return answer
--- a/sequoiaarch/tests/platform/soak/callers.py
+++ b/sequoiaarch/tests/platform/soak/callers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from ....http1.client import ClientConnection, connect
-from ....http1.messages import LinkError, RequestMessage
+from ....http1.messages import ExchangeError, RequestMessage
 from ..site import EVENT_TOKENS, HOST, events_of
 from .gateways import Gateway
 from .proxy import LOOPBACK
@@ -219,7 +219,7 @@
         address = (LOOPBACK, gateway.callers.port)
         try:
             link = await connect(address, timeout=CONNECT_SECONDS)
-        except LinkError:
+        except ExchangeError:
             return Answer(attempt=attempt)
         try:
             return await exchange(link, path, attempt, body, headers, self._tally)
@@ -264,7 +264,7 @@
             while (part := await link.body_part()) is not None:
                 answer.body += part
             answer.whole = True
-    except (LinkError, TimeoutError):
+    except (ExchangeError, TimeoutError):
         tally.counts["cut"] += 1
     tally.answered(attempt, answer.status)
     return answer
@@ -289,7 +289,7 @@
             address = (LOOPBACK, self._gateway.callers.port)
             try:
                 link = await connect(address, timeout=CONNECT_SECONDS)
-            except LinkError:
+            except ExchangeError:
                 await asyncio.sleep(TRY_PAUSE)
                 continue
             try:
--- a/sequoiaarch/tests/platform/soak/keyed.py
+++ b/sequoiaarch/tests/platform/soak/keyed.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from ....http1.client import connect
-from ....http1.messages import LinkError
+from ....http1.messages import ExchangeError
 from ....workspaces.directory import RateLimit
 from ....workspaces.spans import QuotaBounds
 from ..site import tenant
@@ -101,7 +101,7 @@
             link = await connect(
                 (LOOPBACK, gateway.callers.port), timeout=CONNECT_SECONDS
             )
-        except LinkError:
+        except ExchangeError:
             await asyncio.sleep(TRY_PAUSE)
             return
         attempt = f"{self._rng.getrandbits(64):016x}"
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -11,7 +11,7 @@
 from ....errors import ErrorKind, fail
 from ....fleet.delegated_turn import DelegatedTurn
 from ....fleet.delegates import DelegatedTurns
-from ....http1.messages import LinkError
+from ....http1.messages import ExchangeError
 from ....ids import LoanId
 from ....ingress.attempts import Attempts
 from ....ingress.daemon import IngressDaemon
@@ -83,7 +83,7 @@
 def repeats_everything() -> None:
     """Send again what may run only once."""
 
-    def may_repeat(self: Attempts, error: LinkError) -> bool:
+    def may_repeat(self: Attempts, error: ExchangeError) -> bool:
         return True
 
     setattr(Attempts, "may_repeat", may_repeat)  # noqa: B010
@@ -92,7 +92,7 @@
 def refuses_after_run() -> None:
     """Promise that a request has not run although its answer broke."""
 
-    def after_break(self: Exchange, error: LinkError) -> None:
+    def after_break(self: Exchange, error: ExchangeError) -> None:
         raise fail(ErrorKind.OVERLOADED, "the answer broke")
 
     setattr(Exchange, "_after_break", after_break)  # noqa: B010
