--- a/sequoiaarch/http1/client.py
+++ b/sequoiaarch/http1/client.py
@@ -7,7 +7,13 @@
 
 import h11
 
-from .messages import ExchangeError, Headers, LinkFault, RequestMessage, ResponseHead
+from .messages import (
+    ExchangeError,
+    ExchangeFault,
+    Headers,
+    RequestMessage,
+    ResponseHead,
+)
 from .sockets import watch_peer
 
 MAX_INCOMPLETE_BYTES = 64 * 1024
@@ -100,7 +106,7 @@
         data += self._http.send(h11.EndOfMessage()) or b""
         transport = self._transport
         if transport is None or transport.is_closing():
-            raise ExchangeError(LinkFault.RESET, "before the request", sent=False)
+            raise ExchangeError(ExchangeFault.RESET, "before the request", sent=False)
         self._sent = True
         transport.write(data)
         await self._writable.wait()
@@ -112,7 +118,7 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise ExchangeError(LinkFault.GARBLED, "no status line", sent=True)
+                raise ExchangeError(ExchangeFault.GARBLED, "no status line", sent=True)
             headers: Headers = list(event.headers.raw_items())
             return ResponseHead(
                 status=event.status_code, reason=bytes(event.reason), headers=headers
@@ -125,7 +131,7 @@
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
             return None
-        raise ExchangeError(LinkFault.GARBLED, "unexpected event", sent=True)
+        raise ExchangeError(ExchangeFault.GARBLED, "unexpected event", sent=True)
 
     async def skip_response(self) -> None:
         """Read past a response that answers another request, and await ours.
@@ -174,20 +180,24 @@
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                fault = LinkFault.TRUNCATED if self._ended else LinkFault.GARBLED
+                fault = (
+                    ExchangeFault.TRUNCATED if self._ended else ExchangeFault.GARBLED
+                )
                 raise ExchangeError(fault, str(error), sent=self._sent) from None
             if event is h11.NEED_DATA:
                 await self._more()
                 continue
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
-                raise ExchangeError(LinkFault.TRUNCATED, "closed", sent=self._sent)
+                raise ExchangeError(ExchangeFault.TRUNCATED, "closed", sent=self._sent)
             return cast(h11.Event, event)
 
     async def _more(self) -> None:
         """Feed received bytes to the parser, waiting for some."""
         while not self._received:
             if self._error is not None:
-                raise ExchangeError(LinkFault.RESET, str(self._error), sent=self._sent)
+                raise ExchangeError(
+                    ExchangeFault.RESET, str(self._error), sent=self._sent
+                )
             if self._ended:
                 self._http.receive_data(b"")
                 return
@@ -214,7 +224,7 @@
         async with asyncio.timeout(timeout):
             _, link = await loop.create_connection(ClientConnection, *address)
     except TimeoutError:
-        raise ExchangeError(LinkFault.TIMEOUT, "connecting", sent=False) from None
+        raise ExchangeError(ExchangeFault.TIMEOUT, "connecting", sent=False) from None
     except OSError as error:
-        raise ExchangeError(LinkFault.REFUSED, str(error), sent=False) from None
+        raise ExchangeError(ExchangeFault.REFUSED, str(error), sent=False) from None
     return link
--- a/sequoiaarch/http1/messages.py
+++ b/sequoiaarch/http1/messages.py
@@ -50,7 +50,7 @@
         return find_header(self.headers, name)
 
 
-class LinkFault(Enum):
+class ExchangeFault(Enum):
     """Say how an exchange with a target failed."""
 
     REFUSED = "the connection was not established"
@@ -63,7 +63,7 @@
 class ExchangeError(Exception):
     """Carry a failed exchange; `sent` says whether bytes of it went out."""
 
-    def __init__(self, fault: LinkFault, detail: str = "", *, sent: bool) -> None:
+    def __init__(self, fault: ExchangeFault, detail: str = "", *, sent: bool) -> None:
         super().__init__(f"{fault.value} {detail}".rstrip())
         self.fault = fault
         self.sent = sent
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -7,7 +7,7 @@
 
 from ..errors import ErrorKind, FailureError, fail
 from ..http1.client import ClientConnection
-from ..http1.messages import ExchangeError, LinkFault, RequestMessage, ResponseHead
+from ..http1.messages import ExchangeError, ExchangeFault, RequestMessage, ResponseHead
 from ..ids import InstanceId
 from ..policies.health import next_event_due
 from ..routing.routes import Route
@@ -189,7 +189,7 @@
             return None
         if answer.coded:
             # Nobody asked for an encoding: these are not the target's bytes.
-            raise ExchangeError(LinkFault.GARBLED, "the body is encoded", sent=True)
+            raise ExchangeError(ExchangeFault.GARBLED, "the body is encoded", sent=True)
         self.trail.append(f"{target.instance}:{head.status}")
         return Running(target=target, link=link, head=head, answer=answer)
 
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -6,7 +6,7 @@
 
 from ..errors import ErrorKind, FailureError, fail
 from ..http1.events import EventSplitter, event_data
-from ..http1.messages import ExchangeError, LinkFault, RequestMessage, ResponseHead
+from ..http1.messages import ExchangeError, ExchangeFault, RequestMessage, ResponseHead
 from ..http1.server_link import Reply
 from ..ids import TurnId
 from ..ledger.ledger import Ledger
@@ -163,7 +163,7 @@
                 self._after_break(error)
                 continue
             except TimeoutError:
-                self._after_break(ExchangeError(LinkFault.TIMEOUT, sent=True))
+                self._after_break(ExchangeError(ExchangeFault.TIMEOUT, sent=True))
                 continue
             head = running.head
             await self._reply.whole(
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -9,7 +9,7 @@
 
 from ...http1.client import ClientConnection, connect
 from ...http1.events import EventSplitter, event_data
-from ...http1.messages import ExchangeError, LinkFault, RequestMessage
+from ...http1.messages import ExchangeError, ExchangeFault, RequestMessage
 from ...http1.server import Server
 from ...http1.server_link import Reply, ServerLimits
 from ...http1.sockets import reset_on_close
@@ -61,7 +61,7 @@
         self.addCleanup(link.abort)
         return link
 
-    async def fault(self, link: ClientConnection) -> LinkFault:
+    async def fault(self, link: ClientConnection) -> ExchangeFault:
         """Return how an exchange fails."""
         with self.assertRaises(ExchangeError) as caught:
             await link.send(request(1))
@@ -87,7 +87,7 @@
         self.target.exchanges[0].close()
         with self.assertRaises(ExchangeError) as caught:
             await whole(link)
-        self.assertIs(caught.exception.fault, LinkFault.TRUNCATED)
+        self.assertIs(caught.exception.fault, ExchangeFault.TRUNCATED)
 
     async def test_reset_without_length(self) -> None:
         """Refuse an answer without a length whose connection was reset.
@@ -97,7 +97,7 @@
         """
         head = b"HTTP/1.1 200 OK\r\n\r\n"
         link = await self.serve(head + b"part", reset=True)
-        self.assertIs(await self.fault(link), LinkFault.RESET)
+        self.assertIs(await self.fault(link), ExchangeFault.RESET)
 
     async def test_end_without_length(self) -> None:
         """Take an answer without a length that ends with its connection."""
@@ -111,7 +111,7 @@
     async def test_not_http(self) -> None:
         """Refuse bytes that are no answer."""
         link = await self.serve(b"\x00\x01 nothing of the kind\r\n\r\n")
-        self.assertIs(await self.fault(link), LinkFault.GARBLED)
+        self.assertIs(await self.fault(link), ExchangeFault.GARBLED)
 
     async def test_second_answer_while_idle(self) -> None:
         """Drop a link on which an answer comes that no request waits for."""
