--- a/sequoiaarch/http1/idle.py
+++ b/sequoiaarch/http1/idle.py
@@ -12,7 +12,7 @@
 Key = TypeVar("Key", bound=Hashable)
 
 
-class IdleLinks(Generic[Key]):
+class IdleConnections(Generic[Key]):
     """Hold idle links by key, each up to a time; the newest is used first."""
 
     def __init__(self, *, most: int | None = None) -> None:
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from ..http1.client import ClientConnection, connect
-from ..http1.idle import IdleLinks
+from ..http1.idle import IdleConnections
 from ..ids import InstanceId
 from ..routing.targets import TargetEntry
 
@@ -23,7 +23,7 @@
     """Hold idle links by target."""
 
     def __init__(self) -> None:
-        self._idle: IdleLinks[InstanceId] = IdleLinks()
+        self._idle: IdleConnections[InstanceId] = IdleConnections()
         self.opened = 0
 
     async def take(self, target: TargetEntry) -> ClientConnection:
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -6,7 +6,7 @@
 
 from ..errors import Failure
 from ..http1.client import ClientConnection, connect
-from ..http1.idle import IdleLinks
+from ..http1.idle import IdleConnections
 from ..http1.messages import ExchangeError, RequestMessage
 from .calls import StoreCall, StoreReply, unavailable
 
@@ -21,7 +21,7 @@
 
     def __init__(self, *, address: tuple[str, int]) -> None:
         self._address = address
-        self._idle: IdleLinks[None] = IdleLinks(most=LINKS_KEPT)
+        self._idle: IdleConnections[None] = IdleConnections(most=LINKS_KEPT)
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Make a call and return its answer, or why there is none."""
