--- a/sequoiaarch/http1/server.py
+++ b/sequoiaarch/http1/server.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from .server_link import Handler, ServerLimits, ServerLink
+from .server_connection import Handler, ServerConnection, ServerLimits
 
 
 class Server:
@@ -14,7 +14,7 @@
     def __init__(self, *, handle: Handler, limits: ServerLimits) -> None:
         self.handle = handle
         self.limits = limits
-        self.links: set[ServerLink] = set()
+        self.links: set[ServerConnection] = set()
         self.stopping = False
         self.held_bytes = 0
         self._listener: asyncio.Server | None = None
@@ -29,7 +29,7 @@
         """Listen on an address."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
-            lambda: ServerLink(server=self), host, port, backlog=1024
+            lambda: ServerConnection(server=self), host, port, backlog=1024
         )
 
     def make_room(self) -> None:
--- a/sequoiaarch/http1/server_link.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -50,7 +50,7 @@
 class Reply:
     """Send the answer to one request."""
 
-    def __init__(self, *, link: ServerLink, http: h11.Connection) -> None:
+    def __init__(self, *, link: ServerConnection, http: h11.Connection) -> None:
         self._link = link
         self._http = http
         self.started = False
@@ -108,7 +108,7 @@
 
     handle: Handler
     limits: ServerLimits
-    links: set[ServerLink]
+    links: set[ServerConnection]
     stopping: bool
     held_bytes: int
 
@@ -116,7 +116,7 @@
         """Close idle connections once there are too many."""
 
 
-class ServerLink(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """Hold one accepted connection and the task that answers on it."""
 
     def __init__(self, *, server: LinkOwner) -> None:
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -17,7 +17,7 @@
 from ..fleet.turn_server import failed
 from ..http1.messages import RequestMessage
 from ..http1.server import Server
-from ..http1.server_link import Reply, ServerLimits
+from ..http1.server_connection import Reply, ServerLimits
 from ..ids import InstanceId, WriterId
 from ..ledger.ledger import Ledger
 from ..ledger.places import Places
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -10,7 +10,7 @@
 
 from ..errors import ErrorKind, Failure, FailureError, fail
 from ..http1.messages import RequestMessage
-from ..http1.server_link import ClientGone, Reply
+from ..http1.server_connection import ClientGone, Reply
 from ..ids import AttemptId
 from ..ledger.ledger import Ledger
 from ..ledger.turns import Turns
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -11,7 +11,7 @@
 from ...http1.events import EventSplitter, event_data
 from ...http1.messages import ExchangeError, ExchangeFault, RequestMessage
 from ...http1.server import Server
-from ...http1.server_link import Reply, ServerLimits
+from ...http1.server_connection import Reply, ServerLimits
 from ...http1.sockets import reset_on_close
 from ...standins.target import (
     TargetExchange,
--- a/sequoiaarch/tests/platform/http_store.py
+++ b/sequoiaarch/tests/platform/http_store.py
@@ -11,7 +11,7 @@
 from ...errors import Failure
 from ...http1.messages import RequestMessage
 from ...http1.server import Server
-from ...http1.server_link import Reply, ServerLimits
+from ...http1.server_connection import Reply, ServerLimits
 from ...ids import Offset
 from ...standins.keyed_store import KeyedStore
 from ...storage.keyed import KeyedRecord, LogGap, Partition, Writer
