--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -27,7 +27,7 @@
         self.opened = 0
 
     async def take(self, target: TargetEntry) -> ClientConnection:
-        """Return a usable link; raises LinkError."""
+        """Return a usable link; raises ExchangeError."""
         link = self._idle.take(target.incarnation)
         if link is not None:
             return link
