--- a/sequoiaarch/http1/server_connection.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -47,7 +47,7 @@
     """Say that the client closed its connection."""
 
 
-class Reply:
+class ResponseWriter:
     """Send the answer to one request."""
 
     def __init__(self, *, link: ServerConnection, http: h11.Connection) -> None:
@@ -100,7 +100,7 @@
         return self._http.send(response) or b""
 
 
-Handler = Callable[[RequestMessage, Reply], Coroutine[Any, Any, None]]
+Handler = Callable[[RequestMessage, ResponseWriter], Coroutine[Any, Any, None]]
 
 
 class LinkOwner(Protocol):
@@ -224,7 +224,7 @@
         message = await self._read_request()
         if message is None:
             return False
-        reply = Reply(link=self, http=self._http)
+        reply = ResponseWriter(link=self, http=self._http)
         self._handling = asyncio.create_task(self._server.handle(message, reply))
         try:
             await self._handling
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -17,7 +17,7 @@
 from ..fleet.turn_server import failed
 from ..http1.messages import RequestMessage
 from ..http1.server import Server
-from ..http1.server_connection import Reply, ServerLimits
+from ..http1.server_connection import ResponseWriter, ServerLimits
 from ..ids import InstanceId, WriterId
 from ..ledger.ledger import Ledger
 from ..ledger.places import Places
@@ -276,7 +276,9 @@
         self.dispatcher.pool.close()
         await self.ledger.close()
 
-    async def _answer_ready(self, message: RequestMessage, reply: Reply) -> None:
+    async def _answer_ready(
+        self, message: RequestMessage, reply: ResponseWriter
+    ) -> None:
         if message.target.split(b"?")[0] == METRICS_PATH:
             headers = [(b"Content-Type", b"text/plain")]
             await reply.whole(200, headers, self.metrics_text())
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -7,7 +7,7 @@
 from ..errors import ErrorKind, FailureError, fail
 from ..http1.events import EventSplitter, event_data
 from ..http1.messages import ExchangeError, ExchangeFault, RequestMessage, ResponseHead
-from ..http1.server_connection import Reply
+from ..http1.server_connection import ResponseWriter
 from ..ids import TurnId
 from ..ledger.ledger import Ledger
 from ..ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
@@ -47,7 +47,7 @@
         info: CallInfo,
         caller: Caller,
         route: Route,
-        reply: Reply,
+        reply: ResponseWriter,
         deadline: float,
         dispatcher: Dispatcher,
         ledger: Ledger,
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -10,7 +10,7 @@
 
 from ..errors import ErrorKind, Failure, FailureError, fail
 from ..http1.messages import RequestMessage
-from ..http1.server_connection import ClientGone, Reply
+from ..http1.server_connection import ClientGone, ResponseWriter
 from ..ids import AttemptId
 from ..ledger.ledger import Ledger
 from ..ledger.turns import Turns
@@ -66,7 +66,7 @@
         self._metrics = metrics
         self._events = events
 
-    async def handle(self, message: RequestMessage, reply: Reply) -> None:
+    async def handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
         """Answer one request."""
         request = _Request(started=asyncio.get_running_loop().time())
         try:
@@ -90,7 +90,7 @@
             raise fail(ErrorKind.MALFORMED, str(error)) from None
 
     async def _serve(
-        self, message: RequestMessage, request: _Request, reply: Reply
+        self, message: RequestMessage, request: _Request, reply: ResponseWriter
     ) -> None:
         info = request.info = self._read(message)
         routes = request.routes = self._dispatcher.routes
@@ -125,7 +125,9 @@
             reason = f"no answer in {limit:.3f} s"
             raise fail(ErrorKind.DEADLINE_EXCEEDED, reason) from None
 
-    async def _refuse(self, request: _Request, reply: Reply, failure: Failure) -> None:
+    async def _refuse(
+        self, request: _Request, reply: ResponseWriter, failure: Failure
+    ) -> None:
         request.outcome = failure.kind.value
         request.reason = failure.reason
         self._metrics.failed(failure.kind.value)
@@ -146,7 +148,7 @@
         except ClientGone:
             request.outcome = CALLER_LEFT
 
-    def _record(self, request: _Request, reply: Reply) -> None:
+    def _record(self, request: _Request, reply: ResponseWriter) -> None:
         """Write the one line that explains the request, and count it."""
         now = asyncio.get_running_loop().time()
         route = request.route.name if request.route else UNROUTED
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -11,7 +11,7 @@
 from ...http1.events import EventSplitter, event_data
 from ...http1.messages import ExchangeError, ExchangeFault, RequestMessage
 from ...http1.server import Server
-from ...http1.server_connection import Reply, ServerLimits
+from ...http1.server_connection import ResponseWriter, ServerLimits
 from ...http1.sockets import reset_on_close
 from ...standins.target import (
     TargetExchange,
@@ -192,7 +192,7 @@
         for link in list(self.server.links):
             link.abort()
 
-    async def handle(self, message: RequestMessage, reply: Reply) -> None:
+    async def handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
         """Repeat the body, or wait for ever."""
         self.seen.append(message)
         self.taken.set()
--- a/sequoiaarch/tests/platform/http_store.py
+++ b/sequoiaarch/tests/platform/http_store.py
@@ -11,7 +11,7 @@
 from ...errors import Failure
 from ...http1.messages import RequestMessage
 from ...http1.server import Server
-from ...http1.server_connection import Reply, ServerLimits
+from ...http1.server_connection import ResponseWriter, ServerLimits
 from ...ids import Offset
 from ...standins.keyed_store import KeyedStore
 from ...storage.keyed import KeyedRecord, LogGap, Partition, Writer
@@ -32,7 +32,7 @@
         self.delay = 0.0
         self.loses: Callable[[], bool] = lambda: False
 
-    async def _handle(self, message: RequestMessage, reply: Reply) -> None:
+    async def _handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
         url = urlsplit(message.target.decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         part = Partition(topic=query["topic"], number=int(query["part"]))
@@ -47,7 +47,7 @@
             await self._newest(part, query, reply)
 
     async def _append(
-        self, part: Partition, query: dict[str, str], body: bytes, reply: Reply
+        self, part: Partition, query: dict[str, str], body: bytes, reply: ResponseWriter
     ) -> None:
         records = []
         while body:
@@ -75,7 +75,9 @@
         answer = {"offset": done, "endOffset": done + len(records)}
         await reply.whole(200, [], json.dumps(answer).encode())
 
-    async def _read(self, part: Partition, query: dict[str, str], reply: Reply) -> None:
+    async def _read(
+        self, part: Partition, query: dict[str, str], reply: ResponseWriter
+    ) -> None:
         start = Offset(int(query["from"]))
         wait = int(query.get("waitMs", "0")) / 1000
         page = await self.store.read(part, start, wait)
@@ -90,7 +92,7 @@
         await reply.whole(200, [], body)
 
     async def _newest(
-        self, part: Partition, query: dict[str, str], reply: Reply
+        self, part: Partition, query: dict[str, str], reply: ResponseWriter
     ) -> None:
         newest = self.store.newest(part)
         after = query.get("after", "")
