--- a/sequoiaarch/http1/server_connection.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -57,7 +57,7 @@
         self.ended = False
         self.status = 0
 
-    async def whole(
+    async def send_response(
         self, status: int, headers: Headers, body: bytes, reason: bytes = b""
     ) -> None:
         """Send a complete answer."""
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -281,9 +281,9 @@
     ) -> None:
         if message.target.split(b"?")[0] == METRICS_PATH:
             headers = [(b"Content-Type", b"text/plain")]
-            await reply.whole(200, headers, self.metrics_text())
+            await reply.send_response(200, headers, self.metrics_text())
             return
-        await reply.whole(200 if self.ready else 503, [], b"")
+        await reply.send_response(200 if self.ready else 503, [], b"")
 
     def metrics_text(self) -> bytes:
         """Return all metrics as text."""
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -166,7 +166,7 @@
                 self._after_break(ExchangeError(ExchangeFault.TIMEOUT, sent=True))
                 continue
             head = running.head
-            await self._reply.whole(
+            await self._reply.send_response(
                 head.status, running.answer.headers, body, head.reason
             )
             return
@@ -217,7 +217,7 @@
                 whole = True
                 head = running.head
                 headers = running.answer.headers
-                await self._reply.whole(head.status, headers, body, head.reason)
+                await self._reply.send_response(head.status, headers, body, head.reason)
                 return
             whole = await self._relay(running, output)
         except ExchangeError as error:
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -144,7 +144,7 @@
         attempt = request.info.attempt if request.info else AttemptId("")
         headers = self._dispatcher.codec.failure_headers(attempt, failure.wait)
         try:
-            await reply.whole(failure.answer.status, headers, body)
+            await reply.send_response(failure.answer.status, headers, body)
         except ClientGone:
             request.outcome = CALLER_LEFT
 
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -201,7 +201,7 @@
                 await asyncio.Event().wait()
             finally:
                 self.cancelled.set()
-        await reply.whole(200, [], message.body)
+        await reply.send_response(200, [], message.body)
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
         """Return a connection to the server."""
--- a/sequoiaarch/tests/platform/http_store.py
+++ b/sequoiaarch/tests/platform/http_store.py
@@ -38,7 +38,7 @@
         part = Partition(topic=query["topic"], number=int(query["part"]))
         await asyncio.sleep(self.delay)
         if self.status != 200:
-            await reply.whole(self.status, [], b"")
+            await reply.send_response(self.status, [], b"")
         elif url.path == "/-/log-append":
             await self._append(part, query, message.body, reply)
         elif url.path == "/-/log-read":
@@ -59,7 +59,7 @@
         if "asOf" in query:
             end = Offset(int(query["asOf"]))
             done_at = await self.store.append_at(part, records, end)
-            await reply.whole(200 if done_at else 412, [], b"{}")
+            await reply.send_response(200 if done_at else 412, [], b"{}")
             return
         writer = Writer(
             name=query["producer"],
@@ -68,12 +68,12 @@
         )
         done = await self.store.append(part, records, writer)
         if isinstance(done, Failure):
-            await reply.whole(409, [], json.dumps({"why": "seq"}).encode())
+            await reply.send_response(409, [], json.dumps({"why": "seq"}).encode())
             return
         if self.loses():
             await asyncio.Event().wait()
         answer = {"offset": done, "endOffset": done + len(records)}
-        await reply.whole(200, [], json.dumps(answer).encode())
+        await reply.send_response(200, [], json.dumps(answer).encode())
 
     async def _read(
         self, part: Partition, query: dict[str, str], reply: ResponseWriter
@@ -82,14 +82,14 @@
         wait = int(query.get("waitMs", "0")) / 1000
         page = await self.store.read(part, start, wait)
         if isinstance(page, LogGap):
-            await reply.whole(410, [], json.dumps({"firstOffset": 9}).encode())
+            await reply.send_response(410, [], json.dumps({"firstOffset": 9}).encode())
             return
         body = page.end.to_bytes(8, "big") + (0).to_bytes(8, "big")
         for record in page.records:
             key = record.key.encode()
             content = bytes([len(key)]) + key + record.value
             body += len(content).to_bytes(4, "big") + content
-        await reply.whole(200, [], body)
+        await reply.send_response(200, [], body)
 
     async def _newest(
         self, part: Partition, query: dict[str, str], reply: ResponseWriter
@@ -113,4 +113,4 @@
             "hasMore": len(left) > self._page,
             "endOffset": newest.resume,
         }
-        await reply.whole(200, [], json.dumps(answer).encode())
+        await reply.send_response(200, [], json.dumps(answer).encode())
