--- a/sequoiaarch/http1/server_connection.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -74,7 +74,7 @@
         """Send the head of an answer whose parts follow."""
         await self._link.write(self._head(head))
 
-    async def part(self, data: bytes) -> None:
+    async def send_part(self, data: bytes) -> None:
         """Send a part of the body."""
         await self._link.write(self._http.send(h11.Data(data=data)) or b"")
 
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -266,7 +266,7 @@
             output.produced.append(event_data(event) + b"\n")
         if not self._reply.started:
             await self._start(running)
-        await self._reply.part(event)
+        await self._reply.send_part(event)
 
     async def _confirm(self, output: _TurnOutput) -> None:
         """Let the first event out only when its tokens are durably reserved."""
