--- a/sequoiaarch/http1/server.py
+++ b/sequoiaarch/http1/server.py
@@ -14,7 +14,7 @@
     def __init__(self, *, handle: Handler, limits: ServerLimits) -> None:
         self.handle = handle
         self.limits = limits
-        self.links: set[ServerConnection] = set()
+        self.connections: set[ServerConnection] = set()
         self.stopping = False
         self.held_bytes = 0
         self._listener: asyncio.Server | None = None
@@ -38,21 +38,21 @@
         Without descriptors left no connection to a target or to the store can
         be opened, and every request fails.
         """
-        if len(self.links) <= self.limits.links:
+        if len(self.connections) <= self.limits.links:
             return
-        for link in list(self.links):
+        for link in list(self.connections):
             link.close_idle()
 
     def stop_accepting(self) -> None:
         """Close the listening socket and the idle connections."""
         if self._listener is not None:
             self._listener.close()
-        for link in list(self.links):
+        for link in list(self.connections):
             link.close_idle()
 
     def abort(self) -> None:
         """Reset all connections."""
-        for link in list(self.links):
+        for link in list(self.connections):
             link.abort()
 
     async def drained(
@@ -60,7 +60,7 @@
     ) -> bool:
         """Wait up to `timeout` seconds until nothing is under way, here or `also`."""
         deadline = asyncio.get_running_loop().time() + timeout
-        while any(link.busy for link in self.links) or also():
+        while any(link.busy for link in self.connections) or also():
             if asyncio.get_running_loop().time() > deadline:
                 return False
             await asyncio.sleep(0.02)
--- a/sequoiaarch/http1/server_connection.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -108,7 +108,7 @@
 
     handle: Handler
     limits: ServerLimits
-    links: set[ServerConnection]
+    connections: set[ServerConnection]
     stopping: bool
     held_bytes: int
 
@@ -149,7 +149,7 @@
         """Start the connection's task."""
         self._transport = cast(asyncio.Transport, transport)
         watch_peer(transport.get_extra_info("socket"))
-        self._server.links.add(self)
+        self._server.connections.add(self)
         self._server.make_room()
         self._task = asyncio.create_task(self._run())
 
@@ -168,7 +168,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """End the work for a client that has left."""
         self._transport = None
-        self._server.links.discard(self)
+        self._server.connections.discard(self)
         self._writable.set()
         self._leave()
 
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -240,7 +240,7 @@
 
     async def stop(self) -> None:
         """Take no more callers, finish what runs, and end."""
-        log.info("stopping: {} connections", len(self.front.links))
+        log.info("stopping: {} connections", len(self.front.connections))
         self.front.stopping = True
         if self._fleet is not None:
             self._fleet.refuse_new()
@@ -311,7 +311,7 @@
             "config_version": float(routes.version if routes else 0),
             "targets": float(len(self.targets)),
             "turns": float(self.ledger.turns),
-            "connections": float(len(self.front.links)),
+            "connections": float(len(self.front.connections)),
             "target_connections_opened": float(self.dispatcher.pool.opened),
         }
         if self._fleet is not None:
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -189,7 +189,7 @@
     def end(self) -> None:
         """Stop the server."""
         self.server.stop_accepting()
-        for link in list(self.server.links):
+        for link in list(self.server.connections):
             link.abort()
 
     async def handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
@@ -283,7 +283,7 @@
         self.server.limits.links = 4
         opened = [await self.open() for _ in range(8)]
         async with asyncio.timeout(PATIENCE):
-            while len(self.server.links) > 4:
+            while len(self.server.connections) > 4:
                 await asyncio.sleep(0.01)
         self.assertEqual(len(opened), 8)
 
