--- a/sequoiaarch/http1/server.py
+++ b/sequoiaarch/http1/server.py
@@ -55,12 +55,12 @@
         for link in list(self.connections):
             link.abort()
 
-    async def drained(
-        self, timeout: float, *, also: Callable[[], bool] = lambda: False
+    async def wait_drained(
+        self, timeout: float, *, other_work: Callable[[], bool] = lambda: False
     ) -> bool:
         """Wait up to `timeout` seconds until nothing is under way, here or `also`."""
         deadline = asyncio.get_running_loop().time() + timeout
-        while any(link.busy for link in self.connections) or also():
+        while any(link.busy for link in self.connections) or other_work():
             if asyncio.get_running_loop().time() > deadline:
                 return False
             await asyncio.sleep(0.02)
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -247,7 +247,7 @@
         await asyncio.sleep(READY_NOTICE)
         self.front.stop_accepting()
         left = self._options.stop_timeout - READY_NOTICE - STOP_MARGIN
-        drained = await self.front.drained(left, also=self._others_open)
+        drained = await self.front.wait_drained(left, other_work=self._others_open)
         await self._write_last()
         log.info("stopped, all answered: {}", drained)
         await self.close()
