--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -14,7 +14,7 @@
 
 from ..errors import ErrorKind, Failure
 from ..ids import DataCentre, HostName, WriterId
-from ..storage.calls import StoreCall, StoreCaller, StoreReply, unavailable
+from ..storage.calls import StoreCall, StoreClient, StoreReply, unavailable
 from ..storage.keyed import KeyedLog, KeyedRecord, Partition, Writer
 from ..wire.links import Handler, Link, Links, Responder, Send
 from ..wire.messages import Failed, Reply, Request, StoreAnswer, StoreRequest
@@ -236,7 +236,7 @@
         *,
         context: zmq.asyncio.Context,
         address: str,
-        caller: StoreCaller,
+        caller: StoreClient,
         reaches_store: Callable[[], bool] = lambda: True,
     ) -> None:
         self._caller = caller
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -14,9 +14,9 @@
 from ..ingress.daemon import IngressDaemon
 from ..ingress.sources import Sources
 from ..observe.events import EventLog, events_to
-from ..storage.direct import DirectCaller
-from ..storage.hedged import HedgedCaller
-from ..storage.relayed import RelayedCaller, Way
+from ..storage.direct import DirectClient
+from ..storage.hedged import HedgedClient
+from ..storage.relayed import RelayedClient, Way
 from .calls import PlatformCalls
 from .documents import (
     CONFIG_KEY,
@@ -42,7 +42,7 @@
 async def _run_gateway(path: Path, events: EventLog) -> None:
     options = read_settings(path)
     context = zmq.asyncio.Context()
-    direct = HedgedCaller(caller=DirectCaller(address=options.store.address))
+    direct = HedgedClient(caller=DirectClient(address=options.store.address))
     peers = Peers(
         context=context,
         own=options.host,
@@ -51,7 +51,7 @@
         seeds=options.seeds,
         rng=random.Random(),
     )
-    caller = RelayedCaller(
+    caller = RelayedClient(
         direct=direct, relay=peers.relay, silence=lambda: direct.silence
     )
     server = PeerServer(
--- a/sequoiaarch/platform/store.py
+++ b/sequoiaarch/platform/store.py
@@ -10,7 +10,7 @@
 
 from ..errors import ErrorKind, Failure
 from ..ids import Offset
-from ..storage.calls import StoreCall, StoreCaller, StoreReply, unavailable
+from ..storage.calls import StoreCall, StoreClient, StoreReply, unavailable
 from ..storage.keyed import (
     KeyedPage,
     KeyedRecord,
@@ -54,7 +54,7 @@
 class PlatformLog:
     """Append to and read from keyed topics of the platform's store."""
 
-    def __init__(self, *, caller: StoreCaller) -> None:
+    def __init__(self, *, caller: StoreClient) -> None:
         self._caller = caller
 
     async def append(
--- a/sequoiaarch/storage/calls.py
+++ b/sequoiaarch/storage/calls.py
@@ -42,7 +42,7 @@
     return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason=f"{path}: {detail}")
 
 
-class StoreCaller(Protocol):
+class StoreClient(Protocol):
     """Make calls to the store."""
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -16,7 +16,7 @@
 LINKS_KEPT = 16
 
 
-class DirectCaller:
+class DirectClient:
     """Make calls on connections of this process."""
 
     def __init__(self, *, address: tuple[str, int]) -> None:
--- a/sequoiaarch/storage/hedged.py
+++ b/sequoiaarch/storage/hedged.py
@@ -7,7 +7,7 @@
 import logbook
 
 from ..errors import Failure
-from .calls import StoreCall, StoreCaller, StoreReply
+from .calls import StoreCall, StoreClient, StoreReply
 
 log = logbook.Logger("store")
 
@@ -24,7 +24,7 @@
 SILENCE_FACTOR = 3.0
 
 
-class HedgedCaller:
+class HedgedClient:
     """Send a call again on another connection while its answer is late.
 
     With a third of the answers lost, a call that waits for its timeout each
@@ -34,7 +34,7 @@
     the others only read.
     """
 
-    def __init__(self, *, caller: StoreCaller) -> None:
+    def __init__(self, *, caller: StoreClient) -> None:
         self._caller = caller
         self._usual = FIRST_GUESS
 
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -10,7 +10,7 @@
 import logbook
 
 from ..errors import Failure
-from .calls import StoreCall, StoreCaller, StoreReply, unavailable
+from .calls import StoreCall, StoreClient, StoreReply, unavailable
 
 log = logbook.Logger("store")
 
@@ -36,7 +36,7 @@
     NONE = "not at all"
 
 
-class RelayedCaller:
+class RelayedClient:
     """Make calls directly, and through a peer while the direct way fails.
 
     The store can turn away one process for seconds while it serves all
@@ -47,7 +47,7 @@
     def __init__(
         self,
         *,
-        direct: StoreCaller,
+        direct: StoreClient,
         relay: RelayCall,
         silence: Callable[[], float] = lambda: SILENCE,
     ) -> None:
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -7,7 +7,7 @@
 from ...errors import Failure
 from ...ids import Offset
 from ...platform.store import PlatformLog
-from ...storage.direct import DirectCaller
+from ...storage.direct import DirectClient
 from ...storage.keyed import (
     KeyedPage,
     KeyedRecord,
@@ -30,7 +30,7 @@
         self.http = HttpStore(page=2)
         await self.http.server.start("127.0.0.1", 0)
         address = ("127.0.0.1", self.http.server.port)
-        self.log = PlatformLog(caller=DirectCaller(address=address))
+        self.log = PlatformLog(caller=DirectClient(address=address))
 
     async def asyncTearDown(self) -> None:
         """Stop the stand-in."""
--- a/sequoiaarch/tests/storage/ways_tests.py
+++ b/sequoiaarch/tests/storage/ways_tests.py
@@ -7,8 +7,8 @@
 
 from ...errors import ErrorKind, Failure
 from ...storage.calls import StoreCall, StoreReply
-from ...storage.hedged import HedgedCaller
-from ...storage.relayed import RelayedCaller, Way
+from ...storage.hedged import HedgedClient
+from ...storage.relayed import RelayedClient, Way
 
 PATIENCE = 10.0
 CALL = StoreCall(method="GET", path="/x", timeout=PATIENCE)
@@ -45,7 +45,7 @@
         """
         caller = _Caller(None, GOOD)
         async with asyncio.timeout(PATIENCE / 2):
-            reply = await HedgedCaller(caller=caller).call(CALL)
+            reply = await HedgedClient(caller=caller).call(CALL)
         self.assertEqual(reply, GOOD)
         self.assertEqual(caller.calls, 2)
 
@@ -57,20 +57,20 @@
         """
         caller = _Caller(None, None, GOOD)
         async with asyncio.timeout(PATIENCE / 2):
-            self.assertEqual(await HedgedCaller(caller=caller).call(CALL), GOOD)
+            self.assertEqual(await HedgedClient(caller=caller).call(CALL), GOOD)
         self.assertEqual(caller.calls, 3)
 
     async def test_in_time(self) -> None:
         """Call once when the answer comes."""
         caller = _Caller(GOOD)
-        hedged = HedgedCaller(caller=caller)
+        hedged = HedgedClient(caller=caller)
         for _ in range(10):
             self.assertEqual(await hedged.call(CALL), GOOD)
         self.assertEqual(caller.calls, 10)
 
     async def test_both_fail(self) -> None:
         """Fail when both calls do."""
-        reply = await HedgedCaller(caller=_Caller(FAILED)).call(CALL)
+        reply = await HedgedClient(caller=_Caller(FAILED)).call(CALL)
         self.assertEqual(reply, FAILED)
 
 
@@ -84,7 +84,7 @@
         others. Its callers' turns must still be kept.
         """
         direct, relay = _Caller(BUSY), _Caller(GOOD)
-        caller = RelayedCaller(direct=direct, relay=relay.call)
+        caller = RelayedClient(direct=direct, relay=relay.call)
         for _ in range(5):
             self.assertEqual(await caller.call(CALL), GOOD)
         self.assertIs(caller.way, Way.RELAYED)
@@ -102,7 +102,7 @@
         second that this takes.
         """
         direct, relay = _Caller(None), _Caller(GOOD)
-        caller = RelayedCaller(direct=direct, relay=relay.call, silence=lambda: 0.01)
+        caller = RelayedClient(direct=direct, relay=relay.call, silence=lambda: 0.01)
         async with asyncio.timeout(PATIENCE):
             self.assertEqual(await caller.call(CALL), GOOD)
         self.assertIs(caller.way, Way.RELAYED)
@@ -118,7 +118,7 @@
             await asyncio.sleep(0.05)
             return await relay.call(call)
 
-        caller = RelayedCaller(direct=direct, relay=relayed, silence=lambda: 0.01)
+        caller = RelayedClient(direct=direct, relay=relayed, silence=lambda: 0.01)
         silent = asyncio.create_task(caller.call(CALL))
         await asyncio.wait_for(asked.wait(), PATIENCE)
         self.assertEqual(await caller.call(CALL), GOOD)
@@ -133,7 +133,7 @@
         refused for it.
         """
         direct, relay = _Caller(GOOD), _Caller(FAILED)
-        caller = RelayedCaller(direct=direct, relay=relay.call)
+        caller = RelayedClient(direct=direct, relay=relay.call)
         await caller.call(CALL)
         direct.replies = [FAILED]
         self.assertEqual(await caller.call(CALL), FAILED)
@@ -156,7 +156,7 @@
                 await held.wait()
             return await relay.call(call)
 
-        caller = RelayedCaller(direct=direct, relay=relayed)
+        caller = RelayedClient(direct=direct, relay=relayed)
         await caller.call(CALL)
         slow = StoreCall(method="GET", path="/slow", timeout=PATIENCE)
         pending = asyncio.create_task(caller.call(slow))
@@ -177,7 +177,7 @@
         all the same is priced, and its caller waits to be told.
         """
         direct, relay = _Caller(FAILED), _Caller(FAILED)
-        caller = RelayedCaller(direct=direct, relay=relay.call)
+        caller = RelayedClient(direct=direct, relay=relay.call)
         self.assertIsInstance(await caller.call(CALL), Failure)
         self.assertIs(caller.way, Way.NONE)
         for _ in range(100):
