--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -42,7 +42,7 @@
 async def _run_gateway(path: Path, events: EventLog) -> None:
     options = read_settings(path)
     context = zmq.asyncio.Context()
-    direct = HedgedClient(caller=DirectClient(address=options.store.address))
+    direct = HedgedClient(client=DirectClient(address=options.store.address))
     peers = Peers(
         context=context,
         own=options.host,
--- a/sequoiaarch/storage/hedged.py
+++ b/sequoiaarch/storage/hedged.py
@@ -34,8 +34,8 @@
     the others only read.
     """
 
-    def __init__(self, *, caller: StoreClient) -> None:
-        self._caller = caller
+    def __init__(self, *, client: StoreClient) -> None:
+        self._client = client
         self._usual = FIRST_GUESS
 
     @property
@@ -52,7 +52,7 @@
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Make a call and return the first answer to it."""
         if call.waits:
-            return await self._caller.call(call)
+            return await self._client.call(call)
         started = asyncio.get_running_loop().time()
         tasks: list[asyncio.Task[StoreReply | Failure]] = []
         try:
@@ -72,7 +72,7 @@
         left: set[asyncio.Task[StoreReply | Failure]] = set()
         while True:
             if len(tasks) < MOST_CALLS:
-                tasks.append(asyncio.create_task(self._caller.call(call)))
+                tasks.append(asyncio.create_task(self._client.call(call)))
                 left.add(tasks[-1])
             timeout = wait if len(tasks) < MOST_CALLS else None
             wait *= 2
--- a/sequoiaarch/tests/storage/ways_tests.py
+++ b/sequoiaarch/tests/storage/ways_tests.py
@@ -45,7 +45,7 @@
         """
         caller = _Caller(None, GOOD)
         async with asyncio.timeout(PATIENCE / 2):
-            reply = await HedgedClient(caller=caller).call(CALL)
+            reply = await HedgedClient(client=caller).call(CALL)
         self.assertEqual(reply, GOOD)
         self.assertEqual(caller.calls, 2)
 
@@ -57,20 +57,20 @@
         """
         caller = _Caller(None, None, GOOD)
         async with asyncio.timeout(PATIENCE / 2):
-            self.assertEqual(await HedgedClient(caller=caller).call(CALL), GOOD)
+            self.assertEqual(await HedgedClient(client=caller).call(CALL), GOOD)
         self.assertEqual(caller.calls, 3)
 
     async def test_in_time(self) -> None:
         """Call once when the answer comes."""
         caller = _Caller(GOOD)
-        hedged = HedgedClient(caller=caller)
+        hedged = HedgedClient(client=caller)
         for _ in range(10):
             self.assertEqual(await hedged.call(CALL), GOOD)
         self.assertEqual(caller.calls, 10)
 
     async def test_both_fail(self) -> None:
         """Fail when both calls do."""
-        reply = await HedgedClient(caller=_Caller(FAILED)).call(CALL)
+        reply = await HedgedClient(client=_Caller(FAILED)).call(CALL)
         self.assertEqual(reply, FAILED)
 
 
