--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -52,7 +52,7 @@
         rng=random.Random(),
     )
     caller = RelayedClient(
-        direct=direct, relay=peers.relay, silence=lambda: direct.silence
+        direct=direct, relay=peers.relay, relay_delay=lambda: direct.relay_delay
     )
     server = PeerServer(
         context=context,
--- a/sequoiaarch/storage/hedged.py
+++ b/sequoiaarch/storage/hedged.py
@@ -45,7 +45,7 @@
         return min(max(wanted, LEAST_PATIENCE), MOST_PATIENCE)
 
     @property
-    def silence(self) -> float:
+    def relay_delay(self) -> float:
         """Return the seconds after which two calls were late."""
         return SILENCE_FACTOR * self.patience
 
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -49,12 +49,12 @@
         *,
         direct: StoreClient,
         relay: RelayCall,
-        silence: Callable[[], float] = lambda: SILENCE,
+        relay_delay: Callable[[], float] = lambda: SILENCE,
     ) -> None:
         """Take both ways; `silence` is the time after which to try the second."""
         self._direct = direct
         self._relay = relay
-        self._silence = silence
+        self._relay_delay = relay_delay
         self._way = Way.DIRECT
         self._probe_at = 0.0
         self._served_at = float("-inf")
@@ -90,7 +90,7 @@
         direct = asyncio.create_task(self._try_direct(call))
         relay: asyncio.Task[StoreReply | Failure] | None = None
         try:
-            timeout = None if call.waits else self._silence()
+            timeout = None if call.waits else self._relay_delay()
             await asyncio.wait([direct], timeout=timeout)
             if direct.done() and _served(direct.result()):
                 return direct.result()
--- a/sequoiaarch/tests/storage/ways_tests.py
+++ b/sequoiaarch/tests/storage/ways_tests.py
@@ -102,7 +102,9 @@
         second that this takes.
         """
         direct, relay = _Caller(None), _Caller(GOOD)
-        caller = RelayedClient(direct=direct, relay=relay.call, silence=lambda: 0.01)
+        caller = RelayedClient(
+            direct=direct, relay=relay.call, relay_delay=lambda: 0.01
+        )
         async with asyncio.timeout(PATIENCE):
             self.assertEqual(await caller.call(CALL), GOOD)
         self.assertIs(caller.way, Way.RELAYED)
@@ -118,7 +120,7 @@
             await asyncio.sleep(0.05)
             return await relay.call(call)
 
-        caller = RelayedClient(direct=direct, relay=relayed, silence=lambda: 0.01)
+        caller = RelayedClient(direct=direct, relay=relayed, relay_delay=lambda: 0.01)
         silent = asyncio.create_task(caller.call(CALL))
         await asyncio.wait_for(asked.wait(), PATIENCE)
         self.assertEqual(await caller.call(CALL), GOOD)
