--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -33,7 +33,7 @@
 from ..routing.routes import ClientLimits, RouteTable
 from ..routing.targets import Targets
 from ..storage.keyed import KeyedLog
-from ..storage.relayed import Way
+from ..storage.relayed import StoreAccess
 from ..wire.links import Send
 from ..wire.messages import Reply as PeerReply, Request
 from ..workspaces.access import Access
@@ -83,7 +83,7 @@
         reload: Callable[[], IngressOptions] | None = None,
         events: EventLog | None = None,
         metrics: RequestMetrics | None = None,
-        store_way: Callable[[], Way] = lambda: Way.DIRECT,
+        store_way: Callable[[], StoreAccess] = lambda: StoreAccess.DIRECT,
     ) -> None:
         self._reload = reload
         self._options = options
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -14,7 +14,7 @@
 from ..policies.urgency import ProgramStanding, Urgency, WorthUrgency
 from ..routing.routes import Route, RouteTable
 from ..routing.targets import TargetEntry, Targets
-from ..storage.relayed import Way
+from ..storage.relayed import StoreAccess
 from ..workspaces.access import Access
 from .calls import CallCodec, CallInfo
 from .load import LoadBoard
@@ -44,7 +44,7 @@
         self.retries: RetryPolicy = RetryBudget()
         self.routes: RouteTable | None = None
         self.targets_read: Callable[[], float] = lambda: 0.0
-        self.store_way: Callable[[], Way] = lambda: Way.DIRECT
+        self.store_way: Callable[[], StoreAccess] = lambda: StoreAccess.DIRECT
         self._data_centre = data_centre
         self._targets = targets
         self._engines = engines
@@ -114,7 +114,7 @@
 
     def store_reached(self) -> bool:
         """Return whether the store served this process lately, by any way."""
-        return self.store_way() is not Way.NONE
+        return self.store_way() is not StoreAccess.NONE
 
     def targets_age(self) -> float:
         """Return the seconds since the list of targets was read."""
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -16,7 +16,7 @@
 from ..observe.events import EventLog, events_to
 from ..storage.direct import DirectClient
 from ..storage.hedged import HedgedClient
-from ..storage.relayed import RelayedClient, Way
+from ..storage.relayed import RelayedClient, StoreAccess
 from .calls import PlatformCalls
 from .documents import (
     CONFIG_KEY,
@@ -58,7 +58,7 @@
         context=context,
         address=options.inner,
         caller=direct,
-        reaches_store=lambda: caller.way is Way.DIRECT,
+        reaches_store=lambda: caller.way is StoreAccess.DIRECT,
     )
     daemon = IngressDaemon(
         options=options,
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -28,7 +28,7 @@
 AWAY_AFTER_SECONDS = 0.8
 
 
-class Way(Enum):
+class StoreAccess(Enum):
     """Say how calls reach the store at present."""
 
     DIRECT = "directly"
@@ -55,27 +55,27 @@
         self._direct = direct
         self._relay = relay
         self._relay_delay = relay_delay
-        self._way = Way.DIRECT
+        self._way = StoreAccess.DIRECT
         self._probe_at = 0.0
         self._served_at = float("-inf")
         self._probe: asyncio.Task[StoreReply | Failure] | None = None
 
     @property
-    def way(self) -> Way:
+    def way(self) -> StoreAccess:
         """Return how the last call reached the store."""
         return self._way
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Make a call by the way that works."""
-        if self._way is Way.NONE and not self._probe_due(AWAY_PROBE_SECONDS):
+        if self._way is StoreAccess.NONE and not self._probe_due(AWAY_PROBE_SECONDS):
             return unavailable(call, "the store is away")
-        if self._way is Way.RELAYED:
+        if self._way is StoreAccess.RELAYED:
             if not call.waits and self._probe_due(PROBE_SECONDS):
                 self._probe = asyncio.create_task(self._try_direct(call))
             reply = await self._relay(call)
             # The direct way may be back by now; only a failure says something.
-            if not _served(reply) and self._way is Way.RELAYED:
-                self._note(Way.NONE, _reason(reply))
+            if not _served(reply) and self._way is StoreAccess.RELAYED:
+                self._note(StoreAccess.NONE, _reason(reply))
             return reply
         return await self._both_ways(call)
 
@@ -116,20 +116,20 @@
                 # While other calls are answered the direct way is only slow.
                 if self._served_at < begun:
                     reason = _reason(direct.result()) if direct.done() else "silent"
-                    self._note(Way.RELAYED, reason)
+                    self._note(StoreAccess.RELAYED, reason)
                 return relay.result()
         reply = direct.result()
         # A call that lost all its answers says nothing while others are served.
         now = asyncio.get_running_loop().time()
         if now > self._served_at + AWAY_AFTER_SECONDS:
-            self._note(Way.NONE, _reason(reply))
+            self._note(StoreAccess.NONE, _reason(reply))
         return reply
 
     async def _try_direct(self, call: StoreCall) -> StoreReply | Failure:
         reply = await self._direct.call(call)
         if _served(reply):
             self._served_at = asyncio.get_running_loop().time()
-            self._note(Way.DIRECT, "")
+            self._note(StoreAccess.DIRECT, "")
         return reply
 
     def _probe_due(self, interval: float) -> bool:
@@ -139,7 +139,7 @@
         self._probe_at = now + interval
         return True
 
-    def _note(self, way: Way, reason: str) -> None:
+    def _note(self, way: StoreAccess, reason: str) -> None:
         if way is self._way:
             return
         log.info(
