--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -58,7 +58,7 @@
         context=context,
         address=options.inner,
         caller=direct,
-        reaches_store=lambda: caller.way is StoreAccess.DIRECT,
+        reaches_store=lambda: caller.access is StoreAccess.DIRECT,
     )
     daemon = IngressDaemon(
         options=options,
@@ -68,7 +68,7 @@
         peers=peers,
         reload=lambda: read_settings(path),
         events=events,
-        store_way=lambda: caller.way,
+        store_way=lambda: caller.access,
     )
     server.others = daemon.answer_peer
     serving = asyncio.create_task(server.run())
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -61,7 +61,7 @@
         self._probe: asyncio.Task[StoreReply | Failure] | None = None
 
     @property
-    def way(self) -> StoreAccess:
+    def access(self) -> StoreAccess:
         """Return how the last call reached the store."""
         return self._way
 
--- a/sequoiaarch/tests/storage/ways_tests.py
+++ b/sequoiaarch/tests/storage/ways_tests.py
@@ -87,10 +87,10 @@
         caller = RelayedClient(direct=direct, relay=relay.call)
         for _ in range(5):
             self.assertEqual(await caller.call(CALL), GOOD)
-        self.assertIs(caller.way, StoreAccess.RELAYED)
+        self.assertIs(caller.access, StoreAccess.RELAYED)
         direct.replies = [GOOD]
         async with asyncio.timeout(PATIENCE):
-            while caller.way is not StoreAccess.DIRECT:
+            while caller.access is not StoreAccess.DIRECT:
                 await caller.call(CALL)
                 await asyncio.sleep(0.05)
 
@@ -107,7 +107,7 @@
         )
         async with asyncio.timeout(PATIENCE):
             self.assertEqual(await caller.call(CALL), GOOD)
-        self.assertIs(caller.way, StoreAccess.RELAYED)
+        self.assertIs(caller.access, StoreAccess.RELAYED)
         self.assertEqual(direct.calls, 1)
 
     async def test_slow_call_among_served_ones(self) -> None:
@@ -125,7 +125,7 @@
         await asyncio.wait_for(asked.wait(), PATIENCE)
         self.assertEqual(await caller.call(CALL), GOOD)
         self.assertEqual(await silent, GOOD)
-        self.assertIs(caller.way, StoreAccess.DIRECT)
+        self.assertIs(caller.access, StoreAccess.DIRECT)
 
     async def test_one_call_fails_among_served_ones(self) -> None:
         """Go on asking while other calls are served.
@@ -139,7 +139,7 @@
         await caller.call(CALL)
         direct.replies = [FAILED]
         self.assertEqual(await caller.call(CALL), FAILED)
-        self.assertIs(caller.way, StoreAccess.DIRECT)
+        self.assertIs(caller.access, StoreAccess.DIRECT)
         direct.replies = [GOOD]
         self.assertEqual(await caller.call(CALL), GOOD)
 
@@ -165,12 +165,12 @@
         await asyncio.sleep(0)
         direct.replies = [GOOD]
         async with asyncio.timeout(PATIENCE):
-            while caller.way is not StoreAccess.DIRECT:
+            while caller.access is not StoreAccess.DIRECT:
                 await caller.call(CALL)
                 await asyncio.sleep(0.05)
             held.set()
             self.assertEqual(await pending, GOOD)
-        self.assertIs(caller.way, StoreAccess.DIRECT)
+        self.assertIs(caller.access, StoreAccess.DIRECT)
 
     async def test_away(self) -> None:
         """Ask for a store that nobody reaches now and then, not for each call.
@@ -181,7 +181,7 @@
         direct, relay = _Caller(FAILED), _Caller(FAILED)
         caller = RelayedClient(direct=direct, relay=relay.call)
         self.assertIsInstance(await caller.call(CALL), Failure)
-        self.assertIs(caller.way, StoreAccess.NONE)
+        self.assertIs(caller.access, StoreAccess.NONE)
         for _ in range(100):
             self.assertIsInstance(await caller.call(CALL), Failure)
         self.assertLess(direct.calls, 10)
@@ -189,4 +189,4 @@
         async with asyncio.timeout(PATIENCE):
             while await caller.call(CALL) != GOOD:
                 await asyncio.sleep(0.05)
-        self.assertIs(caller.way, StoreAccess.DIRECT)
+        self.assertIs(caller.access, StoreAccess.DIRECT)
