--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -150,7 +150,7 @@
             timeout = call.timeout if call.waits else PEER_TIMEOUT
             link = self._links.to(f"tcp://{address}")
             reply = await link.call(StoreRequest(call=call), timeout=timeout)
-            if isinstance(reply, StoreAnswer) and not reply.reply.turned_away:
+            if isinstance(reply, StoreAnswer) and not reply.reply.rejected:
                 self._liked = address
                 return reply.reply
             # A peer may be turned away like this process; the next one may not.
--- a/sequoiaarch/storage/calls.py
+++ b/sequoiaarch/storage/calls.py
@@ -31,7 +31,7 @@
     body: bytes
 
     @property
-    def turned_away(self) -> bool:
+    def rejected(self) -> bool:
         """Return whether the store did not serve the caller at all."""
         return self.status in TURNED_AWAY
 
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -149,7 +149,7 @@
 
 
 def _served(reply: StoreReply | Failure) -> bool:
-    return isinstance(reply, StoreReply) and not reply.turned_away
+    return isinstance(reply, StoreReply) and not reply.rejected
 
 
 def _reason(reply: StoreReply | Failure) -> str:
