--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -13,7 +13,13 @@
 
 from ..errors import Failure
 from ..ids import Offset
-from ..storage.keyed import KeyedLog, KeyedRecord, ListedRecord, Newest, Partition
+from ..storage.keyed import (
+    KeyedLog,
+    KeyedRecord,
+    ListedRecord,
+    NewestRecords,
+    Partition,
+)
 from .places import Places
 from .records import IndexRecord, decode_record
 
@@ -100,7 +106,7 @@
         log.info("removed {} records of ended programs from {}", len(keys), partition)
         return len(keys)
 
-    def _ended(self, partition: Partition, newest: Newest) -> list[str]:
+    def _ended(self, partition: Partition, newest: NewestRecords) -> list[str]:
         """Return the keys of programs that have written nothing for long enough."""
         now = self._clock()
         before = self._seen.get(partition, {})
--- a/sequoiaarch/platform/store.py
+++ b/sequoiaarch/platform/store.py
@@ -16,7 +16,7 @@
     KeyedRecord,
     ListedRecord,
     LogGap,
-    Newest,
+    NewestRecords,
     Partition,
     Writer,
 )
@@ -120,7 +120,7 @@
         except ValueError as error:
             return _unreadable(call, error)
 
-    async def newest(self, partition: Partition) -> Newest | Failure:
+    async def newest(self, partition: Partition) -> NewestRecords | Failure:
         """Read the newest record of each key."""
         records: list[ListedRecord] = []
         resume: int | None = None
@@ -138,7 +138,7 @@
             if isinstance(reply, Failure):
                 return reply
             if reply.status == 404:
-                return Newest(records=[], resume=Offset(0))
+                return NewestRecords(records=[], resume=Offset(0))
             if reply.status != 200:
                 return _refused(call, reply)
             try:
@@ -149,7 +149,7 @@
                 resume = page.end_offset
             records += [one for one in map(_listed, page.items) if one is not None]
             if not page.has_more or not page.items:
-                return Newest(records=records, resume=Offset(resume))
+                return NewestRecords(records=records, resume=Offset(resume))
             after = page.items[-1].key
 
 
--- a/sequoiaarch/standins/keyed_store.py
+++ b/sequoiaarch/standins/keyed_store.py
@@ -13,7 +13,7 @@
     KeyedRecord,
     ListedRecord,
     LogGap,
-    Newest,
+    NewestRecords,
     Partition,
     Writer,
 )
@@ -140,11 +140,13 @@
         records = topic.records[start - topic.first :]
         return KeyedPage(start=start, end=Offset(topic.end), records=records)
 
-    def newest(self, partition: Partition) -> Newest:
+    def newest(self, partition: Partition) -> NewestRecords:
         """Return the newest record of each key."""
         topic = self._topics[partition]
         self.listings += 1
-        return Newest(records=list(topic.newest.values()), resume=Offset(topic.end))
+        return NewestRecords(
+            records=list(topic.newest.values()), resume=Offset(topic.end)
+        )
 
     async def _store(self, partition: Partition, records: list[KeyedRecord]) -> Offset:
         async with self._grown:
@@ -204,7 +206,7 @@
             return _refused("down")
         return await self._store.read(partition, start, wait)
 
-    async def newest(self, partition: Partition) -> Newest | Failure:
+    async def newest(self, partition: Partition) -> NewestRecords | Failure:
         """Read the newest record of each key."""
         if await self._fails():
             return _refused("down")
--- a/sequoiaarch/storage/keyed.py
+++ b/sequoiaarch/storage/keyed.py
@@ -56,7 +56,7 @@
     offset: Offset
 
 
-class Newest(msgspec.Struct, frozen=True, kw_only=True):
+class NewestRecords(msgspec.Struct, frozen=True, kw_only=True):
     """Hold the newest record of each key.
 
     The pages it was read in are no snapshot: reading on from `resume` shows
@@ -94,5 +94,5 @@
     ) -> KeyedPage | LogGap | Failure:
         """Read from an offset, waiting up to `wait` seconds for a record."""
 
-    async def newest(self, partition: Partition) -> Newest | Failure:
+    async def newest(self, partition: Partition) -> NewestRecords | Failure:
         """Read the newest record of each key."""
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -13,7 +13,7 @@
     KeyedRecord,
     ListedRecord,
     LogGap,
-    Newest,
+    NewestRecords,
     Partition,
     Writer,
 )
@@ -81,7 +81,7 @@
         records = [KeyedRecord(key=f"k{one}", value=b"v") for one in range(5)]
         await self.append(0, *records)
         newest = await self.log.newest(PART)
-        assert isinstance(newest, Newest)
+        assert isinstance(newest, NewestRecords)
         listed = [
             ListedRecord(key=one.key, value=one.value, offset=Offset(place))
             for place, one in enumerate(records)
