--- a/sequoiaarch/gateway/router.py
+++ b/sequoiaarch/gateway/router.py
@@ -18,13 +18,13 @@
 from ..policies.placement import Candidate, Choice, Placing, make_placement
 from ..records.types import ProgramSpec, ProgramState
 from ..wire.messages import (
+    CallAdmitted,
     CallKind,
     CallRequest,
     Chunk,
     Committed,
     Done,
     Failed,
-    Head,
     ProgramOrder,
     RecoverRequest,
 )
@@ -175,7 +175,7 @@
         emitted = False
         done = False
         async for reply in core.links.to(address).stream(request):
-            if isinstance(reply, Head):
+            if isinstance(reply, CallAdmitted):
                 self._note_home(request.program, home)
             elif isinstance(reply, Chunk):
                 emitted = True
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -11,13 +11,13 @@
 from ..ids import Epoch, Seq
 from ..records.types import Commit
 from ..wire.messages import (
+    CallAdmitted,
     CallKind,
     CallRequest,
     Chunk,
     Committed,
     Done,
     Failed,
-    Head,
     Reply,
     Turn,
 )
@@ -203,7 +203,7 @@
     ) -> Reply:
         events = call.follow()
         seq = call.seq or Seq(0)
-        await send(Head(program=request.program, seq=seq, epoch=epoch))
+        await send(CallAdmitted(program=request.program, seq=seq, epoch=epoch))
         while True:
             event = await events.get()
             if isinstance(event, Chunk):
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -357,7 +357,7 @@
     data: bytes
 
 
-class Head(Message, frozen=True, kw_only=True, tag="head"):
+class CallAdmitted(Message, frozen=True, kw_only=True, tag="head"):
     """Say that the call was admitted and at which place in its program."""
 
     program: ProgramId
@@ -536,7 +536,7 @@
     | TurnCovered
     | Lent
     | TokensTaken
-    | Head
+    | CallAdmitted
     | Done
     | Executed
     | Committed
