--- a/sequoiaarch/gateway/copies.py
+++ b/sequoiaarch/gateway/copies.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 
 from ..ids import ProgramId, Seq
-from ..wire.messages import Turn
+from ..wire.messages import PendingTurn
 
 
 class TurnCopies:
@@ -17,7 +17,7 @@
 
     def __init__(self, *, limit: int) -> None:
         self._limit = limit
-        self._turns: OrderedDict[ProgramId, dict[Seq, Turn]] = OrderedDict()
+        self._turns: OrderedDict[ProgramId, dict[Seq, PendingTurn]] = OrderedDict()
         self._size = 0
 
     @property
@@ -30,7 +30,7 @@
         """Return the programs of which turns are held."""
         return len(self._turns)
 
-    def add(self, program: ProgramId, turn: Turn) -> None:
+    def add(self, program: ProgramId, turn: PendingTurn) -> None:
         """Hold one turn."""
         held = self._turns.setdefault(program, {})
         earlier = held.get(turn.seq)
@@ -54,11 +54,11 @@
         for turn in self._turns.pop(program, {}).values():
             self._size -= _size(turn)
 
-    def of(self, program: ProgramId) -> list[Turn]:
+    def of(self, program: ProgramId) -> list[PendingTurn]:
         """Return the held turns of a program in sequence."""
         held = self._turns.get(program, {})
         return [held[seq] for seq in sorted(held)]
 
 
-def _size(turn: Turn) -> int:
+def _size(turn: PendingTurn) -> int:
     return len(turn.messages) + len(turn.answer.body)
--- a/sequoiaarch/home/homes.py
+++ b/sequoiaarch/home/homes.py
@@ -29,7 +29,14 @@
 )
 from ..shards.client import Shards
 from ..wire.links import Links
-from ..wire.messages import Accepted, CallKind, Done, Failed, HandoverRequest, Turn
+from ..wire.messages import (
+    Accepted,
+    CallKind,
+    Done,
+    Failed,
+    HandoverRequest,
+    PendingTurn,
+)
 from .calls import ActiveCall
 from .program import RunningProgram, superseded
 
@@ -222,7 +229,9 @@
         self._metrics.programs.set({}, len(self._programs))
         return running
 
-    async def take_pending(self, running: RunningProgram, turns: list[Turn]) -> None:
+    async def take_pending(
+        self, running: RunningProgram, turns: list[PendingTurn]
+    ) -> None:
         """Commit answers that an earlier home streamed but did not commit.
 
         The gateway's copy keeps the caller from being given two different
@@ -255,7 +264,7 @@
             self._decisions.note(running.id, "history", "recovered", reason)
 
     async def recover(
-        self, running: RunningProgram, turns: list[Turn]
+        self, running: RunningProgram, turns: list[PendingTurn]
     ) -> Failure | None:
         """Commit turns of a lost home and wait until the log has them."""
         await self.take_pending(running, turns)
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -18,8 +18,8 @@
     Committed,
     Done,
     Failed,
+    PendingTurn,
     Reply,
-    Turn,
 )
 from .calls import ActiveCall
 from .dispatcher import Dispatcher
@@ -184,7 +184,7 @@
             await _wait_settled(call, wait)
         turn = None
         if not call.kept and commit.answer is not None:
-            turn = Turn(
+            turn = PendingTurn(
                 seq=commit.seq,
                 prefix=commit.prefix,
                 digest=commit.digest,
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -75,7 +75,7 @@
     draining: bool = False
 
 
-class Turn(msgspec.Struct, frozen=True, kw_only=True):
+class PendingTurn(msgspec.Struct, frozen=True, kw_only=True):
     """Copy one answered call until its commit is known."""
 
     seq: Seq
@@ -108,7 +108,7 @@
     trace: str = ""
     previous_home: TargetName | None = None
     previous_silent: bool = False
-    pending: list[Turn] = []
+    pending: list[PendingTurn] = []
     reason: str = ""
 
 
@@ -184,7 +184,7 @@
 
     program: ProgramId
     spec: ProgramSpec
-    pending: list[Turn]
+    pending: list[PendingTurn]
     silent_home: TargetName | None = None
 
 
@@ -374,7 +374,7 @@
     answer: CallAnswer | None = None
     seq: Seq = Seq(0)
     committed: bool = False
-    turn: Turn | None = None
+    turn: PendingTurn | None = None
     used: int = 0
     load: Load | None = None
 
