--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -19,9 +19,9 @@
 from ..wire.links import Send
 from ..wire.messages import (
     LendRequest,
+    RegistrationSeenRequest,
     Reply,
     Request,
-    SeenRequest,
     SettleRequest,
     TakeTokens,
     TargetReport,
@@ -175,7 +175,7 @@
             return self.reports.take(request)
         if isinstance(request, TakeTokens):
             return self.quotas.answer(request)
-        if isinstance(request, SeenRequest):
+        if isinstance(request, RegistrationSeenRequest):
             return self._joining.answer(request)
         return await self._server.answer(request, send)
 
--- a/sequoiaarch/fleet/joining.py
+++ b/sequoiaarch/fleet/joining.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from ..ids import HostName, WriterId
-from ..wire.messages import Accepted, Reply, SeenRequest
+from ..wire.messages import Accepted, RegistrationSeenRequest, Reply
 from ..workspaces.tenure import Tenure
 from .peers import Peers
 from .turn_server import failed
@@ -40,7 +40,7 @@
             if self._tenure.waits and await self._all_see():
                 self._tenure.seen_by_all()
 
-    def answer(self, request: SeenRequest) -> Reply:
+    def answer(self, request: RegistrationSeenRequest) -> Reply:
         """Tell another host whether it is seen."""
         if self._peers.knows(request.host, request.writer):
             return Accepted()
@@ -58,6 +58,6 @@
         link = self._peers.link(host)
         if link is None:
             return False
-        request = SeenRequest(host=self._own, writer=self._writer)
+        request = RegistrationSeenRequest(host=self._own, writer=self._writer)
         reply = await link.call(request, timeout=ASK_TIMEOUT)
         return isinstance(reply, Accepted)
--- a/sequoiaarch/tests/fleet/joining_tests.py
+++ b/sequoiaarch/tests/fleet/joining_tests.py
@@ -15,7 +15,7 @@
 from ...ids import DataCentre, HostName, WriterId
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
-from ...wire.messages import Reply, Request, SeenRequest
+from ...wire.messages import RegistrationSeenRequest, Reply, Request
 from ...workspaces.tenure import Tenure
 from .delegates_tests import NoStore
 
@@ -49,7 +49,7 @@
 
     async def answer(self, request: Request, send: Send) -> Reply:
         """Tell whether a host is seen."""
-        assert isinstance(request, SeenRequest)
+        assert isinstance(request, RegistrationSeenRequest)
         return self.joining.answer(request)
 
     def see(self, other: _Host) -> None:
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -301,7 +301,7 @@
     begins: bool
 
 
-class SeenRequest(Message, frozen=True, kw_only=True, tag="seen"):
+class RegistrationSeenRequest(Message, frozen=True, kw_only=True, tag="seen"):
     """Ask whether a host's registration by a process is seen."""
 
     host: HostName
@@ -331,7 +331,7 @@
     | LendRequest
     | SettleRequest
     | TakeTokens
-    | SeenRequest
+    | RegistrationSeenRequest
     | TargetReport
     | DispatchRequest
     | SubmitRequest
