--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -23,7 +23,7 @@
     Reply,
     Request,
     SettleRequest,
-    TakeTokens,
+    TakeTokensRequest,
     TargetReport,
 )
 from ..workspaces.credits import Purse
@@ -173,7 +173,7 @@
             return self._lenders.answer(request)
         if isinstance(request, TargetReport):
             return self.reports.take(request)
-        if isinstance(request, TakeTokens):
+        if isinstance(request, TakeTokensRequest):
             return self.quotas.answer(request)
         if isinstance(request, RegistrationSeenRequest):
             return self._joining.answer(request)
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ..ids import HostName, Workspace
-from ..wire.messages import Reply, TakeTokens, TokensTaken
+from ..wire.messages import Reply, TakeTokensRequest, TokensTaken
 from ..workspaces.access import Caller
 from ..workspaces.credits import Purse
 from ..workspaces.limiter import NOT_KEPT, Limiter, Tokens
@@ -68,7 +68,7 @@
         """Return the time of the clock, in seconds."""
         return self._purse.now()
 
-    def answer(self, request: TakeTokens) -> Reply:
+    def answer(self, request: TakeTokensRequest) -> Reply:
         """Answer another gateway."""
         found = self._limiter.take(
             request.workspace, request.share, request.count, begins=request.begins
@@ -91,7 +91,7 @@
         link = self._peers.link(host)
         if link is None or not self._standing.usable(host):
             return NOT_KEPT
-        request = TakeTokens(
+        request = TakeTokensRequest(
             workspace=workspace, share=share, count=count, begins=begins
         )
         reply = await link.call(request, timeout=ASK_TIMEOUT)
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -16,7 +16,7 @@
 from ...ids import DataCentre, HostName, Workspace, WriterId
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
-from ...wire.messages import Reply, Request, TakeTokens
+from ...wire.messages import Reply, Request, TakeTokensRequest
 from ...workspaces import limiter as limiter_module
 from ...workspaces.access import Caller
 from ...workspaces.credits import Purse
@@ -80,7 +80,7 @@
 
     async def answer(self, request: Request, send: Send) -> Reply:
         """Hand out tokens."""
-        assert isinstance(request, TakeTokens)
+        assert isinstance(request, TakeTokensRequest)
         self.asked += 1
         return self.quotas.answer(request)
 
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -292,7 +292,7 @@
     handed: int
 
 
-class TakeTokens(Message, frozen=True, kw_only=True, tag="take_tokens"):
+class TakeTokensRequest(Message, frozen=True, kw_only=True, tag="take_tokens"):
     """Ask the keeper of a share of a workspace's limit for some tokens."""
 
     workspace: Workspace
@@ -330,7 +330,7 @@
     | CoverTurnRequest
     | LendRequest
     | SettleRequest
-    | TakeTokens
+    | TakeTokensRequest
     | RegistrationSeenRequest
     | TargetReport
     | DispatchRequest
