--- a/sequoiaarch/http1/__init__.py
+++ b/sequoiaarch/http1/__init__.py
@@ -1,1 +1,1 @@
-"""Speak HTTP/1.1 exactly, as server and as client, on asyncio."""
+"""Implement an HTTP/1.1 server and client on asyncio and h11."""
--- a/sequoiaarch/http1/client.py
+++ b/sequoiaarch/http1/client.py
@@ -1,4 +1,4 @@
-"""Exchange requests with a target over one connection at a time."""
+"""Send HTTP/1.1 requests to a target and read its responses."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     RequestMessage,
     ResponseHead,
 )
-from .sockets import watch_peer
+from .sockets import detect_dead_peer
 
 MAX_INCOMPLETE_BYTES = 64 * 1024
-PAUSE_ABOVE_BYTES = 256 * 1024
+READ_BUFFER_BYTES = 256 * 1024
 
 
 class ClientConnection(asyncio.Protocol):
-    """Hold one connection to a target and the exchange on it.
+    """Client side of one HTTP/1.1 connection, with one exchange at a time.
 
-    Bytes that arrive while no request waits belong to no request: they make
-    the link unusable.
+    Bytes that arrive while no request is open belong to no response, so the
+    connection is then reset.
     """
 
     def __init__(self) -> None:
@@ -35,64 +35,64 @@
         self._waiter: asyncio.Future[None] | None = None
         self._request: h11.Request | None = None
         self._received = bytearray()
-        self._ended = False
+        self._eof = False
         self._error: Exception | None = None
         self._writable = asyncio.Event()
         self._writable.set()
         self._sent = False
-        # When an idle link has to be let go, on the loop's clock.
-        self.idle_until = 0.0
+        # Event loop time at which an idle connection is closed.
+        self.idle_deadline = 0.0
 
     @property
     def usable(self) -> bool:
-        """Return whether a further request may be sent."""
+        """Return whether another request may be sent."""
         return (
             self._transport is not None
             and not self._transport.is_closing()
-            and not self._ended
+            and not self._eof
             and self._error is None
             and not self._received
             and self._http.our_state is h11.IDLE
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and enable detection of a dead peer."""
         self._transport = cast(asyncio.Transport, transport)
-        watch_peer(transport.get_extra_info("socket"))
+        detect_dead_peer(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the target."""
+        """Buffer received bytes; reset the connection if no request is open."""
         self._received += data
         if self._request is None and self._transport is not None:
             self._transport.abort()
-        if len(self._received) > PAUSE_ABOVE_BYTES and self._transport is not None:
+        if len(self._received) > READ_BUFFER_BYTES and self._transport is not None:
             self._transport.pause_reading()
-        self._wake()
+        self._wake_reader()
 
     def eof_received(self) -> bool:
-        """Note that the target sends no more."""
-        self._ended = True
-        self._wake()
+        """Record that the target has closed its sending side."""
+        self._eof = True
+        self._wake_reader()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Note that the connection is gone."""
-        if exc is not None or not self._ended:
+        """Record the loss of the connection and wake waiting tasks."""
+        if exc is not None or not self._eof:
             self._error = exc or ConnectionResetError("closed")
         self._transport = None
         self._writable.set()
-        self._wake()
+        self._wake_reader()
 
     def pause_writing(self) -> None:
-        """Hold back bytes that the target does not read."""
+        """Block senders while the write buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Send on."""
+        """Unblock senders."""
         self._writable.set()
 
     async def send(self, message: RequestMessage) -> None:
-        """Send a whole request."""
+        """Send a complete request; raise ExchangeError if the connection is closed."""
         self._sent = False
         headers = [*message.headers]
         if message.body or message.method not in (b"GET", b"HEAD", b"DELETE"):
@@ -112,9 +112,9 @@
         await self._writable.wait()
 
     async def head(self) -> ResponseHead:
-        """Wait for the head of the response."""
+        """Return the status and headers of the response; raise ExchangeError."""
         while True:
-            event = await self._event()
+            event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
@@ -125,8 +125,8 @@
             )
 
     async def body_part(self) -> bytes | None:
-        """Wait for bytes of the body; None marks its complete end."""
-        event = await self._event()
+        """Return the next bytes of the body, None at its end; raise ExchangeError."""
+        event = await self._next_event()
         if isinstance(event, h11.Data):
             return bytes(event.data)
         if isinstance(event, h11.EndOfMessage):
@@ -134,14 +134,14 @@
         raise ExchangeError(ExchangeFault.GARBLED, "unexpected event", sent=True)
 
     async def skip_response(self) -> None:
-        """Read past a response that answers another request, and await ours.
+        """Discard a response to an earlier request and expect the next one.
 
-        A target may send a second response late, where the next one is
-        expected. Passing it on would hand a caller somebody else's answer.
+        A target may send a duplicate response late. Passing it on would give a
+        caller the answer to another caller's request.
         """
         while await self.body_part() is not None:
             pass
-        rest = bytes(self._http.trailing_data[0])
+        remaining = bytes(self._http.trailing_data[0])
         self._http = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_INCOMPLETE_BYTES
         )
@@ -153,10 +153,10 @@
         )
         self._http.send(stub)
         self._http.send(h11.EndOfMessage())
-        self._received[:0] = rest
+        self._received[:0] = remaining
 
     def finish(self) -> bool:
-        """End a complete exchange; return whether the link may be used again."""
+        """End an exchange; return whether the connection is reusable, else reset it."""
         if (
             self._http.our_state is h11.DONE
             and self._http.their_state is h11.DONE
@@ -171,34 +171,32 @@
         return False
 
     def abort(self) -> None:
-        """Reset the connection, which stops the target's work on it."""
+        """Reset the connection, so that the target stops working on the request."""
         if self._transport is not None:
             self._transport.abort()
 
-    async def _event(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         while True:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                fault = (
-                    ExchangeFault.TRUNCATED if self._ended else ExchangeFault.GARBLED
-                )
+                fault = ExchangeFault.TRUNCATED if self._eof else ExchangeFault.GARBLED
                 raise ExchangeError(fault, str(error), sent=self._sent) from None
             if event is h11.NEED_DATA:
-                await self._more()
+                await self._feed_parser()
                 continue
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 raise ExchangeError(ExchangeFault.TRUNCATED, "closed", sent=self._sent)
             return cast(h11.Event, event)
 
-    async def _more(self) -> None:
-        """Feed received bytes to the parser, waiting for some."""
+    async def _feed_parser(self) -> None:
+        """Wait for received bytes and feed them to the parser."""
         while not self._received:
             if self._error is not None:
                 raise ExchangeError(
                     ExchangeFault.RESET, str(self._error), sent=self._sent
                 )
-            if self._ended:
+            if self._eof:
                 self._http.receive_data(b"")
                 return
             self._waiter = asyncio.get_running_loop().create_future()
@@ -212,19 +210,19 @@
         if self._transport is not None:
             self._transport.resume_reading()
 
-    def _wake(self) -> None:
+    def _wake_reader(self) -> None:
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
 
 async def connect(address: tuple[str, int], *, timeout: float) -> ClientConnection:
-    """Return a link to an address; the time in seconds."""
+    """Connect within `timeout` seconds; raise ExchangeError on failure."""
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout):
-            _, link = await loop.create_connection(ClientConnection, *address)
+            _, connection = await loop.create_connection(ClientConnection, *address)
     except TimeoutError:
         raise ExchangeError(ExchangeFault.TIMEOUT, "connecting", sent=False) from None
     except OSError as error:
         raise ExchangeError(ExchangeFault.REFUSED, str(error), sent=False) from None
-    return link
+    return connection
--- a/sequoiaarch/http1/events.py
+++ b/sequoiaarch/http1/events.py
@@ -1,13 +1,13 @@
-"""Split a stream of server-sent events into whole events."""
+"""Parse streams of server-sent events."""
 
 from __future__ import annotations
 
 
 class EventSplitter:
-    """Collect bytes and return whole events.
+    """Split a byte stream into complete server-sent events.
 
-    A target may break off in the middle of an event. Only whole ones are
-    passed on, so that a stream can be continued elsewhere at its last event.
+    Incomplete events are held back, so that a broken stream can be resumed on
+    another target after its last complete event.
     """
 
     def __init__(self) -> None:
@@ -15,11 +15,11 @@
 
     @property
     def pending(self) -> bytes:
-        """Return the bytes of an event that has not ended."""
+        """Return the bytes of an incomplete event."""
         return self._pending
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Take bytes and return the events that they complete."""
+        """Append bytes and return the events that they complete."""
         self._pending += data
         events: list[bytes] = []
         while True:
@@ -31,7 +31,7 @@
 
 
 def event_data(event: bytes) -> bytes:
-    """Return the data of an event; several lines are joined by line feeds."""
+    """Return the data of an event, its lines joined by line feeds."""
     lines = []
     for line in event.splitlines():
         if line.startswith(b"data:"):
--- a/sequoiaarch/http1/idle.py
+++ b/sequoiaarch/http1/idle.py
@@ -1,4 +1,4 @@
-"""Keep connections between exchanges."""
+"""Reuse HTTP/1.1 connections between exchanges."""
 
 from __future__ import annotations
 
@@ -13,57 +13,60 @@
 
 
 class IdleConnections(Generic[Key]):
-    """Hold idle links by key, each up to a time; the newest is used first."""
+    """Pool of idle connections by key; the last one returned is reused first."""
 
-    def __init__(self, *, most: int | None = None) -> None:
-        self._most = most
-        self._links: dict[Key, list[ClientConnection]] = defaultdict(list)
+    def __init__(self, *, max_idle: int | None = None) -> None:
+        self._max_idle = max_idle
+        self._connections: dict[Key, list[ClientConnection]] = defaultdict(list)
 
     def take(self, key: Key) -> ClientConnection | None:
-        """Return a usable link, if there is one."""
-        kept = self._links[key]
-        while kept:
-            link = kept.pop()
-            if _usable(link):
-                return link
-            link.abort()
+        """Remove and return a usable connection, or None if there is none."""
+        idle = self._connections[key]
+        while idle:
+            connection = idle.pop()
+            if _usable(connection):
+                return connection
+            connection.abort()
         return None
 
-    def give_back(self, key: Key, link: ClientConnection, limit: float) -> None:
-        """Keep a link whose exchange was complete for `limit` seconds, or close it."""
-        if not link.finish():
+    def give_back(self, key: Key, connection: ClientConnection, limit: float) -> None:
+        """Keep a reusable connection for up to `limit` seconds; reset any other."""
+        if not connection.finish():
             return
-        kept = self._links[key]
-        if limit <= 0 or (self._most is not None and len(kept) >= self._most):
-            link.abort()
+        idle = self._connections[key]
+        if limit <= 0 or (self._max_idle is not None and len(idle) >= self._max_idle):
+            connection.abort()
             return
-        link.idle_until = asyncio.get_running_loop().time() + limit
-        kept.append(link)
+        connection.idle_deadline = asyncio.get_running_loop().time() + limit
+        idle.append(connection)
 
     def sweep(self) -> None:
-        """Close links that were idle for too long."""
-        for key, links in list(self._links.items()):
-            usable = [link for link in links if _usable(link)]
-            for link in links:
-                if link not in usable:
-                    link.abort()
+        """Close connections that have expired or are unusable."""
+        for key, connections in list(self._connections.items()):
+            usable = [connection for connection in connections if _usable(connection)]
+            for connection in connections:
+                if connection not in usable:
+                    connection.abort()
             if usable:
-                self._links[key] = usable
+                self._connections[key] = usable
             else:
-                del self._links[key]
+                del self._connections[key]
 
     def forget(self, key: Key) -> None:
-        """Close the links of one key."""
-        for link in self._links.pop(key, []):
-            link.abort()
+        """Close the idle connections of a key."""
+        for connection in self._connections.pop(key, []):
+            connection.abort()
 
     def close(self) -> None:
-        """Close all links."""
-        for links in self._links.values():
-            for link in links:
-                link.abort()
-        self._links.clear()
+        """Close all idle connections."""
+        for connections in self._connections.values():
+            for connection in connections:
+                connection.abort()
+        self._connections.clear()
 
 
-def _usable(link: ClientConnection) -> bool:
-    return link.usable and asyncio.get_running_loop().time() < link.idle_until
+def _usable(connection: ClientConnection) -> bool:
+    return (
+        connection.usable
+        and asyncio.get_running_loop().time() < connection.idle_deadline
+    )
--- a/sequoiaarch/http1/messages.py
+++ b/sequoiaarch/http1/messages.py
@@ -1,4 +1,4 @@
-"""Hold the requests and responses that pass through the process."""
+"""Define HTTP/1.1 requests, responses and the errors of an exchange."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1), and those
-# that frame a body: each hop sets its own.
+# Hop-by-hop headers (RFC 9110, section 7.6.1) and those that frame the body;
+# they are not forwarded.
 HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -26,7 +26,7 @@
 
 
 class RequestMessage(msgspec.Struct, kw_only=True):
-    """Hold a whole request; `headers` keep the spelling of their sender."""
+    """A complete request; header names keep the case in which they were sent."""
 
     method: bytes
     target: bytes
@@ -34,24 +34,24 @@
     body: bytes = b""
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value of a header, by its lowercase name."""
+        """Return the first value of a header; `name` is in lower case."""
         return find_header(self.headers, name)
 
 
 class ResponseHead(msgspec.Struct, kw_only=True):
-    """Hold the status and headers of a response."""
+    """Status line and headers of a response."""
 
     status: int
     reason: bytes
     headers: Headers
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first value of a header, by its lowercase name."""
+        """Return the first value of a header; `name` is in lower case."""
         return find_header(self.headers, name)
 
 
 class ExchangeFault(Enum):
-    """Say how an exchange with a target failed."""
+    """How an exchange with a target failed."""
 
     REFUSED = "the connection was not established"
     RESET = "the connection was reset"
@@ -61,7 +61,7 @@
 
 
 class ExchangeError(Exception):
-    """Carry a failed exchange; `sent` says whether bytes of it went out."""
+    """Failure of an exchange; `sent` tells whether the request was written."""
 
     def __init__(self, fault: ExchangeFault, detail: str = "", *, sent: bool) -> None:
         super().__init__(f"{fault.value} {detail}".rstrip())
@@ -70,7 +70,7 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes | None:
-    """Return the first value of a header, by its lowercase name."""
+    """Return the first value of a header; `name` is in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -78,11 +78,13 @@
 
 
 def end_to_end(headers: Headers) -> Headers:
-    """Return the headers that are meant for the far end."""
-    named = find_header(headers, b"connection") or b""
-    listed = {token.strip().lower() for token in named.split(b",")}
+    """Return the headers without the hop-by-hop ones."""
+    connection_header = find_header(headers, b"connection") or b""
+    connection_options = {
+        token.strip().lower() for token in connection_header.split(b",")
+    }
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in HOP_HEADERS and name.lower() not in listed
+        if name.lower() not in HOP_HEADERS and name.lower() not in connection_options
     ]
--- a/sequoiaarch/http1/server.py
+++ b/sequoiaarch/http1/server.py
@@ -1,4 +1,4 @@
-"""Accept connections and answer their requests, one task for each."""
+"""Accept HTTP/1.1 connections and serve each in its own task."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Server:
-    """Accept connections and hand their requests to one handler."""
+    """HTTP/1.1 server that passes each request to one handler."""
 
     def __init__(self, *, handle: Handler, limits: ServerLimits) -> None:
         self.handle = handle
@@ -21,46 +21,49 @@
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the port that the server listens on."""
         assert self._listener is not None
         return int(self._listener.sockets[0].getsockname()[1])
 
     async def start(self, host: str, port: int) -> None:
-        """Listen on an address."""
+        """Start to listen on an address."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: ServerConnection(server=self), host, port, backlog=1024
         )
 
-    def make_room(self) -> None:
-        """Close idle connections once there are too many.
+    def close_excess_idle(self) -> None:
+        """Close the idle connections if there are more than the limit.
 
-        Without descriptors left no connection to a target or to the store can
-        be opened, and every request fails.
+        Without free file descriptors no connection to a target or to the store
+        can be opened, and every request fails.
         """
         if len(self.connections) <= self.limits.links:
             return
-        for link in list(self.connections):
-            link.close_idle()
+        for connection in list(self.connections):
+            connection.close_idle()
 
     def stop_accepting(self) -> None:
-        """Close the listening socket and the idle connections."""
+        """Close the listening socket and all idle connections."""
         if self._listener is not None:
             self._listener.close()
-        for link in list(self.connections):
-            link.close_idle()
+        for connection in list(self.connections):
+            connection.close_idle()
 
     def abort(self) -> None:
         """Reset all connections."""
-        for link in list(self.connections):
-            link.abort()
+        for connection in list(self.connections):
+            connection.abort()
 
     async def wait_drained(
         self, timeout: float, *, other_work: Callable[[], bool] = lambda: False
     ) -> bool:
-        """Wait up to `timeout` seconds until nothing is under way, here or `also`."""
+        """Wait until no request is open and `other_work` is false.
+
+        Return False if that takes longer than `timeout` seconds.
+        """
         deadline = asyncio.get_running_loop().time() + timeout
-        while any(link.busy for link in self.connections) or other_work():
+        while any(connection.busy for connection in self.connections) or other_work():
             if asyncio.get_running_loop().time() > deadline:
                 return False
             await asyncio.sleep(0.02)
--- a/sequoiaarch/http1/server_connection.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -1,4 +1,4 @@
-"""Answer the requests on one accepted connection."""
+"""Serve the requests of one accepted HTTP/1.1 connection."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 import msgspec
 
 from .messages import Headers, RequestMessage, ResponseHead
-from .sockets import reset_on_close, watch_peer
+from .sockets import detect_dead_peer, reset_on_close
 
 log = logbook.Logger("http")
 
-READ_AHEAD_BYTES = 256 * 1024
-CLOSE_SECONDS = 1.0
+READ_BUFFER_BYTES = 256 * 1024
+CLOSE_TIMEOUT = 1.0
 
 
 class ServerLimits(msgspec.Struct, kw_only=True):
-    """Bound what a client may send; sizes in bytes, times in seconds.
+    """Limits of a server; sizes in bytes, times in seconds.
 
-    `held_bytes` bounds the bodies of all requests that are being read or
-    answered, `links` the connections.
+    `header_bytes` and `body_bytes` limit one request, `held_bytes` the bodies
+    of all open requests together, `links` the number of connections.
     """
 
     header_bytes: int = 16384
@@ -35,8 +35,8 @@
     links: int = 4096
 
 
-class _Refused(Exception):
-    """End a connection whose request can't be read, with a status."""
+class _RequestRefused(Exception):
+    """Raised for a request that is rejected with a status before it is handled."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -44,14 +44,14 @@
 
 
 class ClientGone(Exception):
-    """Say that the client closed its connection."""
+    """Raised when the client has closed its connection."""
 
 
 class ResponseWriter:
-    """Send the answer to one request."""
+    """Writes the response to one request."""
 
-    def __init__(self, *, link: ServerConnection, http: h11.Connection) -> None:
-        self._link = link
+    def __init__(self, *, connection: ServerConnection, http: h11.Connection) -> None:
+        self._connection = connection
         self._http = http
         self.started = False
         self.ended = False
@@ -60,7 +60,7 @@
     async def send_response(
         self, status: int, headers: Headers, body: bytes, reason: bytes = b""
     ) -> None:
-        """Send a complete answer."""
+        """Send a complete response with its length."""
         length = (b"Content-Length", str(len(body)).encode())
         head = ResponseHead(status=status, reason=reason, headers=[*headers, length])
         data = self._head(head)
@@ -68,31 +68,31 @@
             data += self._http.send(h11.Data(data=body)) or b""
         data += self._http.send(h11.EndOfMessage()) or b""
         self.ended = True
-        await self._link.write(data)
+        await self._connection.write(data)
 
     async def start(self, head: ResponseHead) -> None:
-        """Send the head of an answer whose parts follow."""
-        await self._link.write(self._head(head))
+        """Send the status and headers of a response whose body follows."""
+        await self._connection.write(self._head(head))
 
     async def send_part(self, data: bytes) -> None:
         """Send a part of the body."""
-        await self._link.write(self._http.send(h11.Data(data=data)) or b"")
+        await self._connection.write(self._http.send(h11.Data(data=data)) or b"")
 
     async def end(self) -> None:
-        """Send the end that makes the answer complete."""
+        """Complete the response."""
         data = self._http.send(h11.EndOfMessage()) or b""
         self.ended = True
-        await self._link.write(data)
+        await self._connection.write(data)
 
     def abort(self) -> None:
-        """Break the answer off so that it can't be taken for complete."""
-        self._link.abort()
+        """Reset the connection, so that the response is not taken for complete."""
+        self._connection.abort()
 
     def _head(self, head: ResponseHead) -> bytes:
         self.started = True
         self.status = head.status
         headers = list(head.headers)
-        if self._link.closing:
+        if self._connection.closing:
             headers.append((b"Connection", b"close"))
         response = h11.Response(
             status_code=head.status, reason=head.reason, headers=headers
@@ -103,8 +103,8 @@
 Handler = Callable[[RequestMessage, ResponseWriter], Coroutine[Any, Any, None]]
 
 
-class LinkOwner(Protocol):
-    """Hold what all connections of a server share."""
+class ServerState(Protocol):
+    """State that all connections of a server share."""
 
     handle: Handler
     limits: ServerLimits
@@ -112,130 +112,130 @@
     stopping: bool
     held_bytes: int
 
-    def make_room(self) -> None:
-        """Close idle connections once there are too many."""
+    def close_excess_idle(self) -> None:
+        """Close the idle connections if there are more than the limit."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """Hold one accepted connection and the task that answers on it."""
+    """Server side of one connection, with the task that serves its requests."""
 
-    def __init__(self, *, server: LinkOwner) -> None:
+    def __init__(self, *, server: ServerState) -> None:
         self._server = server
         self._http = h11.Connection(
             h11.SERVER, max_incomplete_event_size=server.limits.header_bytes
         )
         self._transport: asyncio.Transport | None = None
         self._received = bytearray()
-        self._grown = asyncio.Event()
+        self._changed = asyncio.Event()
         self._writable = asyncio.Event()
         self._writable.set()
-        self._gone = False
-        self._open = False
-        self._held = 0
+        self._client_gone = False
+        self._request_open = False
+        self._body_bytes = 0
         self._task: asyncio.Task[None] | None = None
         self._handling: asyncio.Task[None] | None = None
 
     @property
     def closing(self) -> bool:
-        """Return whether the connection ends after the present answer."""
+        """Return whether the connection closes after the current response."""
         return self._server.stopping
 
     @property
     def busy(self) -> bool:
-        """Return whether a request is being read or answered."""
-        return self._open or bool(self._received)
+        """Return whether a request is being received or handled."""
+        return self._request_open or bool(self._received)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the connection's task."""
+        """Start the task that serves the connection."""
         self._transport = cast(asyncio.Transport, transport)
-        watch_peer(transport.get_extra_info("socket"))
+        detect_dead_peer(transport.get_extra_info("socket"))
         self._server.connections.add(self)
-        self._server.make_room()
+        self._server.close_excess_idle()
         self._task = asyncio.create_task(self._run())
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the client."""
+        """Buffer received bytes."""
         self._received += data
-        if len(self._received) > READ_AHEAD_BYTES and self._transport is not None:
+        if len(self._received) > READ_BUFFER_BYTES and self._transport is not None:
             self._transport.pause_reading()
-        self._grown.set()
+        self._changed.set()
 
     def eof_received(self) -> bool:
-        """Treat the client's end as its leaving."""
-        self._leave()
+        """Treat a half-closed connection as closed by the client."""
+        self._client_left()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the work for a client that has left."""
+        """Cancel the handling of the open request."""
         self._transport = None
         self._server.connections.discard(self)
         self._writable.set()
-        self._leave()
+        self._client_left()
 
     def pause_writing(self) -> None:
-        """Hold back bytes that the client does not read."""
+        """Block writers while the write buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Send on."""
+        """Unblock writers."""
         self._writable.set()
 
     async def write(self, data: bytes) -> None:
-        """Send bytes once the client reads."""
-        if self._transport is None or self._gone:
+        """Send bytes and wait while the write buffer is full; raise ClientGone."""
+        if self._transport is None or self._client_gone:
             raise ClientGone
         if data:
             self._transport.write(data)
         await self._writable.wait()
 
     def abort(self) -> None:
-        """Reset the connection, so that no answer on it looks complete."""
+        """Reset the connection, so that no response on it looks complete."""
         if self._transport is not None:
             reset_on_close(self._transport.get_extra_info("socket"))
             self._transport.abort()
 
     def close_idle(self) -> None:
-        """Close the connection if no request is on it."""
+        """Close the connection unless a request is open."""
         if not self.busy and self._transport is not None:
             self._transport.close()
 
-    def _leave(self) -> None:
-        self._gone = True
-        self._grown.set()
+    def _client_left(self) -> None:
+        self._client_gone = True
+        self._changed.set()
         if self._handling is not None:
             self._handling.cancel()
 
     async def _run(self) -> None:
         try:
-            while await self._one():
+            while await self._serve_request():
                 self._http.start_next_cycle()
-        except _Refused as error:
+        except _RequestRefused as error:
             await self._refuse(error)
         except (ClientGone, h11.LocalProtocolError) as error:
-            log.debug("connection ended: {}", type(error).__name__)
+            log.debug("connection closed: {}", type(error).__name__)
         except Exception:
-            log.exception("a connection failed")
+            log.exception("unexpected error while serving a connection")
         finally:
-            self._release()
+            self._release_body()
             await self._close()
 
-    async def _one(self) -> bool:
-        """Read and answer one request; return whether another may follow."""
+    async def _serve_request(self) -> bool:
+        """Serve one request; return whether another may follow."""
         message = await self._read_request()
         if message is None:
             return False
-        reply = ResponseWriter(link=self, http=self._http)
+        reply = ResponseWriter(connection=self, http=self._http)
         self._handling = asyncio.create_task(self._server.handle(message, reply))
         try:
             await self._handling
         except asyncio.CancelledError:
-            if self._gone:
+            if self._client_gone:
                 return False
             raise
         finally:
             self._handling = None
-            self._open = False
-            self._release()
+            self._request_open = False
+            self._release_body()
         if not reply.ended:
             self.abort()
             return False
@@ -243,15 +243,17 @@
 
     async def _read_request(self) -> RequestMessage | None:
         limits = self._server.limits
-        first = await self._first_bytes(limits.idle_timeout)
+        first = await self._wait_for_request(limits.idle_timeout)
         if not first:
             return None
-        self._open = True
+        self._request_open = True
         try:
             async with asyncio.timeout(limits.header_timeout):
-                head = await self._event()
+                head = await self._next_event()
         except TimeoutError:
-            raise _Refused(408, "the request's head did not come in time") from None
+            raise _RequestRefused(
+                408, "request headers were not received in time"
+            ) from None
         if not isinstance(head, h11.Request):
             return None
         _check_framing(head)
@@ -263,17 +265,17 @@
             body=body,
         )
 
-    async def _first_bytes(self, timeout: float) -> bool:
+    async def _wait_for_request(self, timeout: float) -> bool:
         if self._http.trailing_data[0]:
             return True
         try:
             async with asyncio.timeout(timeout):
-                while not self._received and not self._gone:
-                    self._grown.clear()
-                    await self._grown.wait()
+                while not self._received and not self._client_gone:
+                    self._changed.clear()
+                    await self._changed.wait()
         except TimeoutError:
             return False
-        return not self._gone
+        return not self._client_gone
 
     async def _body(self, limits: ServerLimits) -> bytes:
         if self._http.they_are_waiting_for_100_continue:
@@ -283,59 +285,63 @@
         while True:
             try:
                 async with asyncio.timeout(limits.idle_timeout):
-                    event = await self._event()
+                    event = await self._next_event()
             except TimeoutError:
-                raise _Refused(408, "the request's body did not come") from None
+                raise _RequestRefused(
+                    408, "request body was not received in time"
+                ) from None
             if isinstance(event, h11.EndOfMessage):
                 return bytes(parts)
             if not isinstance(event, h11.Data):
                 raise ClientGone
             parts += event.data
-            self._hold(len(event.data))
+            self._count_body(len(event.data))
             if len(parts) > limits.body_bytes:
-                raise _Refused(413, "the request's body is too large")
-            # A process over its memory limit is killed, and every request on
-            # it breaks off; refusing this one costs one retry.
+                raise _RequestRefused(413, "request body is too large")
+            # A process above its memory limit is killed with all its requests;
+            # rejecting one request costs a single retry.
             if self._server.held_bytes > limits.held_bytes:
-                raise _Refused(503, "too many bodies are held")
+                raise _RequestRefused(
+                    503, "request bodies exceed the memory limit of the server"
+                )
 
-    def _hold(self, size: int) -> None:
-        self._held += size
+    def _count_body(self, size: int) -> None:
+        self._body_bytes += size
         self._server.held_bytes += size
 
-    def _release(self) -> None:
-        self._server.held_bytes -= self._held
-        self._held = 0
+    def _release_body(self) -> None:
+        self._server.held_bytes -= self._body_bytes
+        self._body_bytes = 0
 
-    async def _event(self) -> h11.Event:
+    async def _next_event(self) -> h11.Event:
         while True:
             try:
                 event = self._http.next_event()
             except h11.RemoteProtocolError as error:
-                # What follows the colon quotes the request, with the caller's key.
+                # The text after the colon quotes the request, maybe an API key.
                 reason = str(error).partition(":")[0]
-                raise _Refused(error.error_status_hint, reason) from None
+                raise _RequestRefused(error.error_status_hint, reason) from None
             if event is h11.NEED_DATA:
-                await self._more()
+                await self._feed_parser()
                 continue
             if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                 raise ClientGone
             return cast(h11.Event, event)
 
-    async def _more(self) -> None:
+    async def _feed_parser(self) -> None:
         while not self._received:
-            if self._gone:
+            if self._client_gone:
                 raise ClientGone
-            self._grown.clear()
-            await self._grown.wait()
+            self._changed.clear()
+            await self._changed.wait()
         data = bytes(self._received)
         self._received.clear()
         self._http.receive_data(data)
         if self._transport is not None:
             self._transport.resume_reading()
 
-    async def _refuse(self, error: _Refused) -> None:
-        log.info("request refused with {}: {}", error.status, error)
+    async def _refuse(self, error: _RequestRefused) -> None:
+        log.info("request rejected with status {}: {}", error.status, error)
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         body = str(error).encode()
@@ -350,21 +356,21 @@
             await self.write(data)
 
     async def _close(self) -> None:
-        """Close so that the last answer still arrives."""
+        """Close the connection after the client has read the last response."""
         if self._transport is None:
             return
-        if self._gone or not self._transport.can_write_eof():
+        if self._client_gone or not self._transport.can_write_eof():
             self._transport.abort()
             return
-        # A close with unread bytes resets the connection, and the reset can
-        # overtake the answer: the client would see a lost request.
+        # Closing with unread bytes resets the connection, and the client may see
+        # the reset before the response. So read until the client closes.
         self._transport.write_eof()
         try:
-            async with asyncio.timeout(CLOSE_SECONDS):
-                while not self._gone:
+            async with asyncio.timeout(CLOSE_TIMEOUT):
+                while not self._client_gone:
                     self._received.clear()
-                    self._grown.clear()
-                    await self._grown.wait()
+                    self._changed.clear()
+                    await self._changed.wait()
         except TimeoutError:
             pass
         if self._transport is not None:
@@ -372,7 +378,7 @@
 
 
 def _check_framing(head: h11.Request) -> None:
-    """Refuse a request whose length can be read in two ways."""
+    """Reject a request with ambiguous framing (request smuggling)."""
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        raise _Refused(400, "both Content-Length and Transfer-Encoding")
+        raise _RequestRefused(400, "both Content-Length and Transfer-Encoding")
--- a/sequoiaarch/http1/sockets.py
+++ b/sequoiaarch/http1/sockets.py
@@ -1,22 +1,20 @@
-"""Set sockets so that a silent peer is noticed."""
+"""Set the TCP options of connections."""
 
 from __future__ import annotations
 
 import socket
 import struct
 
-# A connection can fall silent without a reset; without these the caller of a
-# request on it would wait until the request's own deadline, and a stream that
-# waits for its next event would never end. Milliseconds and seconds: noticed
-# within about two seconds, and no probe while bytes flow.
+# A peer can vanish without a reset. These timeouts close such a connection within
+# about two seconds, instead of at the deadline of its request.
 USER_TIMEOUT_MS = 2000
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
 
 
-def watch_peer(sock: socket.socket) -> None:
-    """Have the kernel end a connection whose peer no longer answers."""
+def detect_dead_peer(sock: socket.socket) -> None:
+    """Disable Nagle's algorithm and let the kernel close connections to dead peers."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
@@ -30,6 +28,6 @@
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Have the close of a connection reset it instead of ending it."""
+    """Make a close send a reset (RST) instead of an orderly end (FIN)."""
     linger = struct.pack("ii", 1, 0)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -13,7 +13,7 @@
 # Seconds. A store that is away does not refuse, it stays silent.
 CONNECT_TIMEOUT = 0.5
 IDLE_LIMIT = 10.0
-LINKS_KEPT = 16
+MAX_IDLE_CONNECTIONS = 16
 
 
 class DirectClient:
@@ -21,32 +21,36 @@
 
     def __init__(self, *, address: tuple[str, int]) -> None:
         self._address = address
-        self._idle: IdleConnections[None] = IdleConnections(most=LINKS_KEPT)
+        self._idle: IdleConnections[None] = IdleConnections(
+            max_idle=MAX_IDLE_CONNECTIONS
+        )
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Make a call and return its answer, or why there is none."""
-        link: ClientConnection | None = None
+        connection: ClientConnection | None = None
         try:
             async with asyncio.timeout(call.timeout):
-                link = await self._take()
-                reply = await self._exchange(link, call)
+                connection = await self._get_connection()
+                reply = await self._exchange(connection, call)
         except TimeoutError:
             return unavailable(call, f"no answer in {call.timeout:.1f} s")
         except ExchangeError as error:
             return unavailable(call, str(error))
         finally:
-            if link is not None:
-                self._idle.give_back(None, link, IDLE_LIMIT)
+            if connection is not None:
+                self._idle.give_back(None, connection, IDLE_LIMIT)
         return reply
 
-    async def _take(self) -> ClientConnection:
-        link = self._idle.take(None)
-        return link or await connect(self._address, timeout=CONNECT_TIMEOUT)
+    async def _get_connection(self) -> ClientConnection:
+        connection = self._idle.take(None)
+        return connection or await connect(self._address, timeout=CONNECT_TIMEOUT)
 
-    async def _exchange(self, link: ClientConnection, call: StoreCall) -> StoreReply:
+    async def _exchange(
+        self, connection: ClientConnection, call: StoreCall
+    ) -> StoreReply:
         host, port = self._address
         headers = [(b"Host", f"{host}:{port}".encode())]
-        await link.send(
+        await connection.send(
             RequestMessage(
                 method=call.method.encode(),
                 target=call.path.encode(),
@@ -54,8 +58,8 @@
                 body=call.body,
             )
         )
-        head = await link.head()
+        head = await connection.head()
         body = bytearray()
-        while (part := await link.body_part()) is not None:
+        while (part := await connection.body_part()) is not None:
             body += part
         return StoreReply(status=head.status, body=bytes(body))
--- a/sequoiaarch/tests/http1/__init__.py
+++ b/sequoiaarch/tests/http1/__init__.py
@@ -1,1 +1,1 @@
-"""Test package http1."""
+"""Tests of the HTTP/1.1 client and server."""
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -1,4 +1,4 @@
-"""Test requests and answers on the wire, in order and out of order."""
+"""Test the HTTP/1.1 client and server against misbehaving peers."""
 
 from __future__ import annotations
 
@@ -21,29 +21,29 @@
     whole_answer,
 )
 
-PATIENCE = 10.0
-ATTEMPT = "Attempt"
+TIMEOUT = 10.0
+ATTEMPT_HEADER = "Attempt"
 
 
 def request(number: int, body: bytes = b"") -> RequestMessage:
-    """Return a request with a number."""
+    """Return a request whose Attempt header is `number`."""
     headers = [(b"Host", b"target"), (b"Attempt", str(number).encode())]
     return RequestMessage(method=b"POST", target=b"/path", headers=headers, body=body)
 
 
-async def whole(link: ClientConnection) -> bytes:
-    """Return the body of the answer that comes next."""
+async def read_body(connection: ClientConnection) -> bytes:
+    """Read the rest of the current response's body."""
     body = b""
-    while (part := await link.body_part()) is not None:
+    while (part := await connection.body_part()) is not None:
         body += part
     return body
 
 
 class ClientLinkTests(unittest.IsolatedAsyncioTestCase):
-    """Test the link to a target that misbehaves."""
+    """Exchange requests with a target that misbehaves."""
 
     async def serve(self, *parts: bytes, reset: bool = False) -> ClientConnection:
-        """Return a link to a target that answers a request with these bytes."""
+        """Connect to a target that answers each request with `parts`."""
 
         async def behave(exchange: TargetExchange) -> None:
             for part in parts:
@@ -57,177 +57,174 @@
         self.target = TargetStandIn(behaviour=behave)
         await self.target.start()
         self.addAsyncCleanup(self.target.stop)
-        link = await connect(("127.0.0.1", self.target.port), timeout=PATIENCE)
-        self.addCleanup(link.abort)
-        return link
+        connection = await connect(("127.0.0.1", self.target.port), timeout=TIMEOUT)
+        self.addCleanup(connection.abort)
+        return connection
 
-    async def fault(self, link: ClientConnection) -> ExchangeFault:
-        """Return how an exchange fails."""
+    async def fault(self, connection: ClientConnection) -> ExchangeFault:
+        """Run an exchange that must fail; return its fault."""
         with self.assertRaises(ExchangeError) as caught:
-            await link.send(request(1))
-            await link.head()
-            await whole(link)
+            await connection.send(request(1))
+            await connection.head()
+            await read_body(connection)
         self.assertTrue(caught.exception.sent)
         return caught.exception.fault
 
-    async def test_second_exchange_on_a_link(self) -> None:
-        """Use a link again after a complete answer."""
-        link = await self.serve(whole_answer(b"answer"))
+    async def test_connection_is_reused(self) -> None:
+        """A connection is reusable after a complete response."""
+        connection = await self.serve(whole_answer(b"answer"))
         for number in (1, 2):
-            await link.send(request(number, b"body"))
-            self.assertEqual((await link.head()).status, 200)
-            self.assertEqual(await whole(link), b"answer")
-            self.assertTrue(link.finish())
-
-    async def test_truncated(self) -> None:
-        """Tell an answer that ends early from a whole one."""
-        link = await self.serve(whole_answer(b"answer")[:-2], reset=False)
-        await link.send(request(1))
-        await link.head()
+            await connection.send(request(number, b"body"))
+            self.assertEqual((await connection.head()).status, 200)
+            self.assertEqual(await read_body(connection), b"answer")
+            self.assertTrue(connection.finish())
+
+    async def test_truncated_response(self) -> None:
+        """A response that is shorter than its length is an error."""
+        connection = await self.serve(whole_answer(b"answer")[:-2], reset=False)
+        await connection.send(request(1))
+        await connection.head()
         self.target.exchanges[0].close()
         with self.assertRaises(ExchangeError) as caught:
-            await whole(link)
+            await read_body(connection)
         self.assertIs(caught.exception.fault, ExchangeFault.TRUNCATED)
 
-    async def test_reset_without_length(self) -> None:
-        """Refuse an answer without a length whose connection was reset.
+    async def test_reset_response_without_length(self) -> None:
+        """A reset is not the end of a response without a length.
 
-        Such an answer ends with its connection. A reset is no end: the bytes
-        that are missing would make a shorter answer that looks complete.
+        Otherwise a truncated response would be taken for a complete one.
         """
         head = b"HTTP/1.1 200 OK\r\n\r\n"
-        link = await self.serve(head + b"part", reset=True)
-        self.assertIs(await self.fault(link), ExchangeFault.RESET)
-
-    async def test_end_without_length(self) -> None:
-        """Take an answer without a length that ends with its connection."""
-        link = await self.serve(b"HTTP/1.1 200 OK\r\n\r\nbody")
-        await link.send(request(1))
-        await link.head()
+        connection = await self.serve(head + b"part", reset=True)
+        self.assertIs(await self.fault(connection), ExchangeFault.RESET)
+
+    async def test_response_without_length_ends_at_close(self) -> None:
+        """A response without a length ends when its connection closes."""
+        connection = await self.serve(b"HTTP/1.1 200 OK\r\n\r\nbody")
+        await connection.send(request(1))
+        await connection.head()
         self.target.exchanges[0].close()
-        self.assertEqual(await whole(link), b"body")
-        self.assertFalse(link.finish())
-
-    async def test_not_http(self) -> None:
-        """Refuse bytes that are no answer."""
-        link = await self.serve(b"\x00\x01 nothing of the kind\r\n\r\n")
-        self.assertIs(await self.fault(link), ExchangeFault.GARBLED)
-
-    async def test_second_answer_while_idle(self) -> None:
-        """Drop a link on which an answer comes that no request waits for."""
-        link = await self.serve(whole_answer(b"answer"), whole_answer(b"again"))
-        await link.send(request(1))
-        await link.head()
-        await whole(link)
+        self.assertEqual(await read_body(connection), b"body")
+        self.assertFalse(connection.finish())
+
+    async def test_response_is_not_http(self) -> None:
+        """Bytes that are not HTTP are an error."""
+        connection = await self.serve(b"\x00\x01 nothing of the kind\r\n\r\n")
+        self.assertIs(await self.fault(connection), ExchangeFault.GARBLED)
+
+    async def test_unrequested_response_while_idle(self) -> None:
+        """A connection that receives an unrequested response is not reused."""
+        connection = await self.serve(whole_answer(b"answer"), whole_answer(b"again"))
+        await connection.send(request(1))
+        await connection.head()
+        await read_body(connection)
         await asyncio.sleep(0.1)
-        self.assertFalse(link.finish() and link.usable)
+        self.assertFalse(connection.finish() and connection.usable)
 
-    async def test_late_second_answer(self) -> None:
-        """Skip the second answer to an earlier request.
+    async def test_late_duplicate_response_is_skipped(self) -> None:
+        """A duplicate response to the previous request can be skipped.
 
-        The target answers the first request twice, the second time only when
-        the next request is on the connection. The next caller must get its
-        own answer, which follows.
+        It arrives once the next request is sent, whose caller must get its own
+        response.
         """
 
         async def behave(exchange: TargetExchange) -> None:
             number = exchange.request.header(b"attempt") or b""
             if number == b"2":
-                late = whole_answer(b"answer 1", headers=((ATTEMPT, "1"),))
-                exchange.send(late)
+                duplicate = whole_answer(b"answer 1", headers=((ATTEMPT_HEADER, "1"),))
+                exchange.send(duplicate)
             own = whole_answer(
-                b"answer " + number, headers=((ATTEMPT, number.decode()),)
+                b"answer " + number, headers=((ATTEMPT_HEADER, number.decode()),)
             )
             exchange.send(own)
 
-        link = await self.serve()
+        connection = await self.serve()
         self.target.behaviour = behave
-        await link.send(request(1))
-        await link.head()
-        self.assertEqual(await whole(link), b"answer 1")
-        self.assertTrue(link.finish())
-        await link.send(request(2, b"body"))
-        head = await link.head()
+        await connection.send(request(1))
+        await connection.head()
+        self.assertEqual(await read_body(connection), b"answer 1")
+        self.assertTrue(connection.finish())
+        await connection.send(request(2, b"body"))
+        head = await connection.head()
         self.assertEqual(head.header(b"attempt"), b"1")
-        await link.skip_response()
-        head = await link.head()
+        await connection.skip_response()
+        head = await connection.head()
         self.assertEqual(head.header(b"attempt"), b"2")
-        self.assertEqual(await whole(link), b"answer 2")
+        self.assertEqual(await read_body(connection), b"answer 2")
 
-    async def test_events_in_pieces(self) -> None:
-        """Return whole events only, however their bytes arrive."""
+    async def test_events_are_split_at_any_byte(self) -> None:
+        """Only complete events are returned, however their bytes are split."""
         splitter = EventSplitter()
         data = b"id: 1\ndata: a\ndata: b\n\nid: 2\ndata:c\n\nid: 3\nda"
         events = []
-        for place in range(len(data)):
-            events += splitter.feed(data[place : place + 1])
-        self.assertEqual([event_data(one) for one in events], [b"a\nb", b"c"])
+        for position in range(len(data)):
+            events += splitter.feed(data[position : position + 1])
+        self.assertEqual([event_data(event) for event in events], [b"a\nb", b"c"])
         self.assertEqual(splitter.pending, b"id: 3\nda")
 
-    async def test_chunked_stream(self) -> None:
-        """Return the parts of a stream as they come, and its end."""
+    async def test_chunked_response(self) -> None:
+        """A chunked response is read up to its last chunk."""
         parts = [stream_head(), chunk(b"one"), chunk(b"two"), chunk(b"")]
-        link = await self.serve(*parts)
-        await link.send(request(1))
-        await link.head()
-        self.assertEqual(await whole(link), b"onetwo")
+        connection = await self.serve(*parts)
+        await connection.send(request(1))
+        await connection.head()
+        self.assertEqual(await read_body(connection), b"onetwo")
 
 
 class ServerTests(unittest.IsolatedAsyncioTestCase):
-    """Test the callers' side with raw bytes."""
+    """Send raw bytes to the server."""
 
     async def asyncSetUp(self) -> None:
-        """Start a server that repeats the body."""
-        self.cancelled = asyncio.Event()
-        self.taken = asyncio.Event()
-        self.seen: list[RequestMessage] = []
+        """Start a server that echoes the request body."""
+        self.handler_cancelled = asyncio.Event()
+        self.handler_started = asyncio.Event()
+        self.handled: list[RequestMessage] = []
         limits = ServerLimits(body_bytes=64, header_timeout=0.2, idle_timeout=0.5)
         self.server = Server(handle=self.handle, limits=limits)
         await self.server.start("127.0.0.1", 0)
         self.addCleanup(self.end)
 
     def end(self) -> None:
-        """Stop the server."""
+        """Stop the server and reset its connections."""
         self.server.stop_accepting()
-        for link in list(self.server.connections):
-            link.abort()
+        for connection in list(self.server.connections):
+            connection.abort()
 
-    async def handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
-        """Repeat the body, or wait for ever."""
-        self.seen.append(message)
-        self.taken.set()
+    async def handle(self, message: RequestMessage, writer: ResponseWriter) -> None:
+        """Echo the body; never answer requests to /wait."""
+        self.handled.append(message)
+        self.handler_started.set()
         if message.target == b"/wait":
             try:
                 await asyncio.Event().wait()
             finally:
-                self.cancelled.set()
-        await reply.send_response(200, [], message.body)
+                self.handler_cancelled.set()
+        await writer.send_response(200, [], message.body)
 
     async def open(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        """Return a connection to the server."""
+        """Open a connection to the server."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.server.port)
         self.addCleanup(writer.transport.abort)
         return reader, writer
 
     async def exchange(self, data: bytes) -> bytes:
-        """Send bytes and return all that comes until the server closes."""
+        """Send bytes and return all that is received until the server closes."""
         reader, writer = await self.open()
         writer.write(data)
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             return await reader.read()
 
-    async def test_chunked_body(self) -> None:
-        """Read a body in chunks."""
+    async def test_chunked_request(self) -> None:
+        """A chunked request body is read."""
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
         answer = await self.exchange(head + b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
         self.assertIn(b"200", answer.split(b"\r\n")[0])
         self.assertTrue(answer.endswith(b"abcde"))
 
-    async def test_two_lengths(self) -> None:
-        """Refuse a request whose end could be read in two ways.
+    async def test_ambiguous_framing_is_rejected(self) -> None:
+        """A request with a length and chunked encoding is rejected.
 
-        A caller hides a second request in the body of the first. Read by
-        either length, the other reader would run the hidden one.
+        It could smuggle a second request past a proxy that frames it otherwise.
         """
         data = (
             b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 30\r\n"
@@ -236,10 +233,10 @@
         )
         answer = await self.exchange(data)
         self.assertIn(b"400", answer.split(b"\r\n")[0])
-        self.assertEqual(self.seen, [])
+        self.assertEqual(self.handled, [])
 
-    async def test_malformed_header_is_quoted_nowhere(self) -> None:
-        """Show no bytes of a header that can't be read, which may hold a key."""
+    async def test_malformed_header_is_not_disclosed(self) -> None:
+        """A malformed header, maybe with an API key, is neither sent nor logged."""
         handler = logbook.TestHandler(level=logbook.DEBUG)
         with handler.applicationbound():
             answer = await self.exchange(
@@ -250,18 +247,17 @@
         self.assertNotIn(b"secret-text", answer)
         self.assertNotIn("secret-text", "".join(handler.formatted_records))
 
-    async def test_too_large(self) -> None:
-        """Refuse a body over the limit."""
+    async def test_body_above_limit(self) -> None:
+        """A body above the limit is rejected."""
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n"
         answer = await self.exchange(head + b"x" * 100)
         self.assertIn(b"413", answer.split(b"\r\n")[0])
-        self.assertEqual(self.seen, [])
+        self.assertEqual(self.handled, [])
 
-    async def test_many_bodies(self) -> None:
-        """Refuse a body while others take all the memory, and only then.
+    async def test_memory_limit_of_bodies(self) -> None:
+        """A body is rejected while the open requests exceed the memory limit.
 
-        Callers send half of their bodies and wait. Taking more of them would
-        end the process at its memory limit, and all requests with it.
+        Unbounded buffering would get the process killed with all its requests.
         """
         self.server.limits.held_bytes = 100
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 60\r\n\r\n"
@@ -271,61 +267,60 @@
         answer = await self.exchange(head + b"x" * 60)
         self.assertIn(b"503", answer.split(b"\r\n")[0])
         first.transport.abort()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             while self.server.held_bytes:
                 await asyncio.sleep(0.01)
         close = head.replace(b"Host: h", b"Host: h\r\nConnection: close")
         answer = await self.exchange(close + b"x" * 60)
         self.assertIn(b"200", answer.split(b"\r\n")[0])
 
-    async def test_many_connections(self) -> None:
-        """Close idle connections once there are too many of them."""
+    async def test_connection_limit(self) -> None:
+        """Idle connections above the limit are closed."""
         self.server.limits.links = 4
         opened = [await self.open() for _ in range(8)]
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             while len(self.server.connections) > 4:
                 await asyncio.sleep(0.01)
         self.assertEqual(len(opened), 8)
 
-    async def test_half_a_head(self) -> None:
-        """Give up on a head that does not come."""
+    async def test_incomplete_headers_time_out(self) -> None:
+        """Incomplete request headers time out."""
         answer = await self.exchange(b"GET /a HTTP/1.1\r\nHo")
         self.assertIn(b"408", answer.split(b"\r\n")[0])
 
-    async def test_requests_in_a_row(self) -> None:
-        """Answer requests that were sent together, in their order."""
-        one = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n"
-        last = one.replace(b"Host: h", b"Host: h\r\nConnection: close")
-        answer = await self.exchange(one + b"1" + one + b"2" + last + b"3")
+    async def test_pipelined_requests(self) -> None:
+        """Pipelined requests are answered in order."""
+        first = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\n"
+        last = first.replace(b"Host: h", b"Host: h\r\nConnection: close")
+        answer = await self.exchange(first + b"1" + first + b"2" + last + b"3")
         bodies = [part[-1:] for part in answer.split(b"HTTP/1.1 200")[1:]]
         self.assertEqual(len(bodies), 3)
-        self.assertEqual([one.body for one in self.seen], [b"1", b"2", b"3"])
+        self.assertEqual([message.body for message in self.handled], [b"1", b"2", b"3"])
 
-    async def test_caller_leaves(self) -> None:
-        """End the work for a caller that has closed its connection.
+    async def test_client_close_cancels_handler(self) -> None:
+        """The handler is cancelled when the client closes its connection.
 
-        The caller gives up while its request runs. Work that goes on for
-        nobody holds a slot that others wait for.
+        Otherwise it would keep a slot that other requests wait for.
         """
         _, writer = await self.open()
         writer.write(b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
-        async with asyncio.timeout(PATIENCE):
-            await self.taken.wait()
+        async with asyncio.timeout(TIMEOUT):
+            await self.handler_started.wait()
             writer.close()
-            await self.cancelled.wait()
+            await self.handler_cancelled.wait()
 
-    async def test_caller_resets(self) -> None:
-        """End the work for a caller whose connection was reset."""
+    async def test_client_reset_cancels_handler(self) -> None:
+        """The handler is cancelled when the client resets its connection."""
         _, writer = await self.open()
         writer.write(b"GET /wait HTTP/1.1\r\nHost: h\r\n\r\n")
-        async with asyncio.timeout(PATIENCE):
-            await self.taken.wait()
+        async with asyncio.timeout(TIMEOUT):
+            await self.handler_started.wait()
             reset_on_close(writer.get_extra_info("socket"))
             writer.transport.abort()
-            await self.cancelled.wait()
+            await self.handler_cancelled.wait()
 
-    async def test_stop_finishes_open_requests(self) -> None:
-        """Answer the request under way when the stop begins, then close."""
+    async def test_stop_completes_open_requests(self) -> None:
+        """A request that is open when the server stops is still answered."""
         reader, writer = await self.open()
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\n"
         writer.write(head + b"ab")
@@ -333,7 +328,7 @@
         self.server.stopping = True
         self.server.stop_accepting()
         writer.write(b"c")
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             answer = await reader.read()
         self.assertTrue(answer.endswith(b"abc"))
         self.assertIn(b"connection: close", answer.lower())
