--- a/sequoiaarch/storage/__init__.py
+++ b/sequoiaarch/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Meet the services of the platform: log, host list and weight store."""
+"""Clients of the platform's services: logs, host list and weight store."""
--- a/sequoiaarch/storage/calls.py
+++ b/sequoiaarch/storage/calls.py
@@ -1,4 +1,4 @@
-"""Carry single calls to the store, however they get there."""
+"""Define a call to the store and its reply, independent of the transport."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 from ..errors import ErrorKind, Failure
 
-TURNED_AWAY = frozenset({429, 503})
+REJECTED_STATUSES = frozenset({429, 503})
 
 
 class StoreCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe one call; `waits` says that the store may hold it open.
+    """One HTTP call to the store; `timeout` in seconds.
 
-    The timeout is in seconds.
+    `waits` marks a long poll, which the store may hold open.
     """
 
     method: str
@@ -25,25 +25,25 @@
 
 
 class StoreReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the store's answer to a call."""
+    """Status and body of the store's response to a call."""
 
     status: int
     body: bytes
 
     @property
     def rejected(self) -> bool:
-        """Return whether the store did not serve the caller at all."""
-        return self.status in TURNED_AWAY
+        """Return whether the store rejected the call without handling it."""
+        return self.status in REJECTED_STATUSES
 
 
 def unavailable(call: StoreCall, detail: str) -> Failure:
-    """Return the failure of a call that was not answered as it should be."""
+    """Return the failure of a call that got no usable response."""
     path = call.path.partition("?")[0]
     return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason=f"{path}: {detail}")
 
 
 class StoreClient(Protocol):
-    """Make calls to the store."""
+    """Client that makes calls to the store."""
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Make a call and return its answer, or why there is none."""
+        """Make a call; return its reply, or why there is none."""
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -10,14 +10,14 @@
 from ..http1.messages import ExchangeError, RequestMessage
 from .calls import StoreCall, StoreReply, unavailable
 
-# Seconds. A store that is away does not refuse, it stays silent.
+# Seconds. An unavailable store drops connections instead of refusing them.
 CONNECT_TIMEOUT = 0.5
 IDLE_LIMIT = 10.0
 MAX_IDLE_CONNECTIONS = 16
 
 
 class DirectClient:
-    """Make calls on connections of this process."""
+    """Store client that calls the store over this process's own connections."""
 
     def __init__(self, *, address: tuple[str, int]) -> None:
         self._address = address
@@ -26,7 +26,7 @@
         )
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Make a call and return its answer, or why there is none."""
+        """Make a call; return its reply, or why there is none."""
         connection: ClientConnection | None = None
         try:
             async with asyncio.timeout(call.timeout):
--- a/sequoiaarch/storage/hedged.py
+++ b/sequoiaarch/storage/hedged.py
@@ -1,4 +1,4 @@
-"""Ask the store a second time when an answer is late."""
+"""Hedge calls to the store: repeat a call whose reply is late."""
 
 from __future__ import annotations
 
@@ -11,83 +11,80 @@
 
 log = logbook.Logger("store")
 
-# An answer that takes four times as long as usual is likely lost. The bounds
-# keep a fast store from being asked twice for a single late packet, and a
-# first call from waiting for its full timeout. Seconds.
-USUAL_FACTOR = 4.0
-LEAST_PATIENCE = 0.06
-MOST_PATIENCE = 0.5
-FIRST_GUESS = 0.02
+# A call is repeated after this multiple of the usual latency. The bounds prevent
+# a repeat for a single delayed packet, and long waits at a slow store. Seconds.
+HEDGE_FACTOR = 4.0
+MIN_HEDGE_DELAY = 0.06
+MAX_HEDGE_DELAY = 0.5
+INITIAL_LATENCY = 0.02
 SMOOTHING = 0.1
-MOST_CALLS = 4
-# Two calls in a row without an answer take three times the patience for one.
-SILENCE_FACTOR = 3.0
+MAX_CALLS = 4
+# Two calls have been late after one hedge delay and another of twice its length.
+RELAY_DELAY_FACTOR = 3.0
 
 
 class HedgedClient:
-    """Send a call again on another connection while its answer is late.
+    """Store client that sends hedged requests.
 
-    With a third of the answers lost, a call that waits for its timeout each
-    time holds the end of a turn for a second, and one call in eight loses two
-    answers. Each further call waits twice as long, so that a slow store gets a
-    handful at most. All calls may be repeated: appends carry a sequence, and
-    the others only read.
+    It repeats a call on another connection while no reply has arrived, with
+    exponential backoff and at most `MAX_CALLS` times in all. Repeats are safe:
+    appends carry a sequence number, and all other calls only read.
     """
 
     def __init__(self, *, client: StoreClient) -> None:
         self._client = client
-        self._usual = FIRST_GUESS
+        self._latency = INITIAL_LATENCY
 
     @property
-    def patience(self) -> float:
-        """Return the seconds to wait before a second call."""
-        wanted = USUAL_FACTOR * self._usual
-        return min(max(wanted, LEAST_PATIENCE), MOST_PATIENCE)
+    def hedge_delay(self) -> float:
+        """Return the seconds without a reply before a call is repeated."""
+        delay = HEDGE_FACTOR * self._latency
+        return min(max(delay, MIN_HEDGE_DELAY), MAX_HEDGE_DELAY)
 
     @property
     def relay_delay(self) -> float:
-        """Return the seconds after which two calls were late."""
-        return SILENCE_FACTOR * self.patience
+        """Return the seconds without a reply before a peer is asked too."""
+        return RELAY_DELAY_FACTOR * self.hedge_delay
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Make a call and return the first answer to it."""
+        """Make a call and return the first reply."""
         if call.waits:
             return await self._client.call(call)
         started = asyncio.get_running_loop().time()
         tasks: list[asyncio.Task[StoreReply | Failure]] = []
         try:
-            reply = await self._first_answer(call, tasks)
+            reply = await self._first_reply(call, tasks)
         finally:
             for task in tasks:
                 task.cancel()
         if not isinstance(reply, Failure):
-            self._learn(started)
+            self._update_latency(started)
         return reply
 
-    async def _first_answer(
+    async def _first_reply(
         self, call: StoreCall, tasks: list[asyncio.Task[StoreReply | Failure]]
     ) -> StoreReply | Failure:
-        wait = self.patience
+        delay = self.hedge_delay
         failure: Failure | None = None
-        left: set[asyncio.Task[StoreReply | Failure]] = set()
+        pending: set[asyncio.Task[StoreReply | Failure]] = set()
         while True:
-            if len(tasks) < MOST_CALLS:
+            if len(tasks) < MAX_CALLS:
                 tasks.append(asyncio.create_task(self._client.call(call)))
-                left.add(tasks[-1])
-            timeout = wait if len(tasks) < MOST_CALLS else None
-            wait *= 2
-            done, left = await asyncio.wait(
-                left, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
+                pending.add(tasks[-1])
+            timeout = delay if len(tasks) < MAX_CALLS else None
+            delay *= 2
+            done, pending = await asyncio.wait(
+                pending, timeout=timeout, return_when=asyncio.FIRST_COMPLETED
             )
             for task in done:
                 reply = task.result()
                 if not isinstance(reply, Failure):
                     return reply
                 failure = reply
-            # Two that failed at once say that the store is away.
-            if failure is not None and not left and len(tasks) > 1:
+            # Two calls failed and none is open: the store is unavailable.
+            if failure is not None and not pending and len(tasks) > 1:
                 return failure
 
-    def _learn(self, started: float) -> None:
-        taken = asyncio.get_running_loop().time() - started
-        self._usual += SMOOTHING * (taken - self._usual)
+    def _update_latency(self, started: float) -> None:
+        latency = asyncio.get_running_loop().time() - started
+        self._latency += SMOOTHING * (latency - self._latency)
--- a/sequoiaarch/storage/http.py
+++ b/sequoiaarch/storage/http.py
@@ -1,4 +1,4 @@
-"""Meet the platform's services over HTTP."""
+"""Access the platform's services over HTTP."""
 
 from __future__ import annotations
 
@@ -21,25 +21,25 @@
 
 
 class Appended(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer an append."""
+    """Response to an append: the offset of its first record."""
 
     offset: Offset
 
 
 class AppendBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Carry the records of one append."""
+    """Body of an append request."""
 
     records: list[bytes]
 
 
 class ReserveReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer a reservation of the weight store."""
+    """Response to a reservation; `wait` in seconds."""
 
     wait: float
 
 
 class HttpClient:
-    """Run blocking HTTP requests beside the event loop."""
+    """HTTP client that runs blocking requests in a thread pool."""
 
     def __init__(self, *, url: str, threads: int = POOL_SIZE) -> None:
         self._url = url.rstrip("/")
@@ -49,7 +49,7 @@
     async def request(
         self, method: str, path: str, *, body: bytes | None = None, timeout: float
     ) -> bytes | Failure:
-        """Send one request and return its body, or why there is none."""
+        """Send a request; return the body of its response, or why there is none."""
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(
             self._threads, self._request, method, path, body, timeout
@@ -58,10 +58,10 @@
     def _request(
         self, method: str, path: str, body: bytes | None, timeout: float
     ) -> bytes | Failure:
-        limits = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=timeout)
+        timeouts = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=timeout)
         try:
             reply = self._pool.request(
-                method, self._url + path, body=body, timeout=limits
+                method, self._url + path, body=body, timeout=timeouts
             )
         except urllib3.exceptions.HTTPError as error:
             return _unavailable(f"{method} {path}: {type(error).__name__}")
@@ -70,19 +70,19 @@
         return reply.data
 
     def close(self) -> None:
-        """Let go of threads and connections."""
+        """Shut down the threads and close the connections."""
         self._threads.shutdown(wait=False, cancel_futures=True)
         self._pool.clear()
 
 
 class HttpLog:
-    """Append to and read from the log over HTTP."""
+    """The platform's log over HTTP."""
 
     def __init__(self, *, client: HttpClient) -> None:
         self._client = client
 
     async def append(self, stream: str, records: list[bytes]) -> Offset | Failure:
-        """Append records together and return the offset of the first."""
+        """Append records atomically; return the offset of the first."""
         body = msgspec.json.encode(AppendBody(records=records))
         path = f"/streams/{stream}/records"
         reply = await self._client.request(
@@ -90,13 +90,13 @@
         )
         if isinstance(reply, Failure):
             return reply
-        answer = _decode(reply, Appended)
-        return answer if isinstance(answer, Failure) else answer.offset
+        decoded = _decode(reply, Appended)
+        return decoded if isinstance(decoded, Failure) else decoded.offset
 
     async def read(
         self, stream: str, start: Offset, *, limit: int, wait: float
     ) -> Page | Failure:
-        """Read from an offset, waiting up to `wait` seconds for a record."""
+        """Read from an offset; wait up to `wait` seconds for a record."""
         path = f"/streams/{stream}/records?from={start}&limit={limit}&wait={wait}"
         timeout = wait + READ_MARGIN
         reply = await self._client.request("GET", path, timeout=timeout)
@@ -104,13 +104,13 @@
 
 
 class HttpHostList:
-    """Read the host list over HTTP."""
+    """The platform's host list over HTTP."""
 
     def __init__(self, *, client: HttpClient) -> None:
         self._client = client
 
     async def hosts(self) -> list[HostEntry] | Failure:
-        """Return all hosts that the platform knows."""
+        """Return all hosts of the platform."""
         reply = await self._client.request("GET", "/hosts", timeout=READ_MARGIN)
         if isinstance(reply, Failure):
             return reply
@@ -118,26 +118,26 @@
 
 
 class HttpWeightStore:
-    """Ask the weight store over HTTP."""
+    """The platform's store of model weights over HTTP."""
 
     def __init__(self, *, client: HttpClient) -> None:
         self._client = client
 
     async def reserve(self, model: str, version: str) -> float | Failure:
-        """Reserve one load and return the seconds to wait before it."""
+        """Reserve one load of a model; return the seconds to wait before it."""
         path = f"/weights/{model}/{version}/reserve"
         reply = await self._client.request("POST", path, timeout=READ_MARGIN)
         if isinstance(reply, Failure):
             return reply
-        answer = _decode(reply, ReserveReply)
-        return answer if isinstance(answer, Failure) else answer.wait
+        decoded = _decode(reply, ReserveReply)
+        return decoded if isinstance(decoded, Failure) else decoded.wait
 
 
 def _decode(data: bytes, kind: type[T]) -> T | Failure:
     try:
         return msgspec.json.decode(data, type=kind)
     except msgspec.DecodeError as error:
-        return _unavailable(f"the platform answered something else: {error}")
+        return _unavailable(f"cannot decode the platform's response: {error}")
 
 
 def _unavailable(reason: str) -> Failure:
--- a/sequoiaarch/storage/interfaces.py
+++ b/sequoiaarch/storage/interfaces.py
@@ -1,4 +1,4 @@
-"""Say what the platform's services offer to the system."""
+"""Interfaces of the platform's services: log, host list and weight store."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 
 class Page(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold consecutive records of a stream.
+    """Consecutive records of a stream.
 
-    `first` is the oldest offset that the log still keeps; `start` is the
-    offset of the first record in the page.
+    `first` is the oldest offset that the log still retains, `start` the offset
+    of the first record of the page, and `end` the offset after the stream's
+    last record.
     """
 
     first: Offset
@@ -25,43 +26,43 @@
 
 
 class AppendLog(Protocol):
-    """Append to and read from the platform's log."""
+    """The platform's append-only log."""
 
     async def append(self, stream: str, records: list[bytes]) -> Offset | Failure:
-        """Append records together and return the offset of the first.
+        """Append records atomically; return the offset of the first.
 
-        After a failure the records may or may not stand in the log.
+        After a failure the records may or may not be in the log.
         """
 
     async def read(
         self, stream: str, start: Offset, *, limit: int, wait: float
     ) -> Page | Failure:
-        """Read from an offset, waiting up to `wait` seconds for a record."""
+        """Read from an offset; wait up to `wait` seconds for a record."""
 
 
 class HostState(Enum):
-    """Say what the platform thinks of a host."""
+    """State of a host in the platform's host list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class HostEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """Name one host of the host list."""
+    """One host of the host list."""
 
     host: HostName
     state: HostState
 
 
 class HostList(Protocol):
-    """Read the platform's list of hosts, which lags."""
+    """The platform's list of hosts, which is eventually consistent."""
 
     async def hosts(self) -> list[HostEntry] | Failure:
-        """Return all hosts that the platform knows."""
+        """Return all hosts of the platform."""
 
 
 class WeightStore(Protocol):
-    """Ask the rate-limited store of model weights."""
+    """The platform's rate-limited store of model weights."""
 
     async def reserve(self, model: str, version: str) -> float | Failure:
-        """Reserve one load and return the seconds to wait before it."""
+        """Reserve one load of a model; return the seconds to wait before it."""
--- a/sequoiaarch/storage/keyed.py
+++ b/sequoiaarch/storage/keyed.py
@@ -1,4 +1,4 @@
-"""Say what a log with keyed, partitioned topics offers to the system."""
+"""Interface of a log with keyed records in partitioned topics."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class KeyedRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one record; without a value it removes its key."""
+    """A record of a keyed topic; an empty value deletes its key."""
 
     key: str
     value: bytes
 
 
 class Partition(msgspec.Struct, frozen=True, kw_only=True):
-    """Name one partition of a topic."""
+    """One partition of a topic."""
 
     topic: str
     number: int
 
 
 class Writer(msgspec.Struct, frozen=True, kw_only=True):
-    """Identify an append so that the log can tell its repeats.
+    """Identity of an append, with which the log detects duplicates.
 
-    A repeat of the same sequence gets the first answer again, and an older
-    one that is carried out late is refused.
+    A repeat of the latest sequence number gets the first reply again; a lower
+    sequence number is rejected.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 class KeyedPage(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the records from an offset on; `end` follows the newest one."""
+    """Records from an offset on; `end` is the offset after the newest record."""
 
     start: Offset
     end: Offset
@@ -51,16 +51,16 @@
 
 
 class ListedRecord(KeyedRecord, frozen=True, kw_only=True):
-    """Hold a record with its place in the log."""
+    """A record with its offset in the log."""
 
     offset: Offset
 
 
 class NewestRecords(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the newest record of each key.
+    """The newest record of each key.
 
-    The pages it was read in are no snapshot: reading on from `resume` shows
-    every change that they may have missed.
+    The records are not a consistent snapshot: to see every change that they
+    may miss, read on from `resume`.
     """
 
     records: list[ListedRecord]
@@ -68,31 +68,32 @@
 
 
 class LogGap(Enum):
-    """Say why records can't be read."""
+    """Why records can't be read."""
 
     TRIMMED = "trimmed"
 
 
 class KeyedLog(Protocol):
-    """Append to and read from keyed topics."""
+    """A log with keyed, partitioned topics."""
 
     async def append(
         self, partition: Partition, records: list[KeyedRecord], *, writer: Writer
     ) -> Offset | Failure:
-        """Append all records or none; return the offset of the first."""
+        """Append records atomically; return the offset of the first."""
 
     async def append_at(
         self, partition: Partition, records: list[KeyedRecord], *, end: Offset
     ) -> bool | Failure:
-        """Append if the partition still ends there; return whether it did.
+        """Append if the partition ends at `end`; return whether it did.
 
-        After a lost answer this may return False although it was done.
+        After a lost reply this may return False although the records were
+        appended.
         """
 
     async def read(
         self, partition: Partition, start: Offset, *, wait: float
     ) -> KeyedPage | LogGap | Failure:
-        """Read from an offset, waiting up to `wait` seconds for a record."""
+        """Read from an offset; wait up to `wait` seconds for a record."""
 
     async def newest(self, partition: Partition) -> NewestRecords | Failure:
-        """Read the newest record of each key."""
+        """Return the newest record of each key."""
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -1,4 +1,4 @@
-"""Reach the store through a peer while it turns this process away."""
+"""Relay calls to the store through a peer while it can't be reached directly."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 RelayCall = Callable[[StoreCall], Coroutine[Any, Any, StoreReply | Failure]]
 
-# While peers carry the calls, one call in this time also tries the direct way.
-PROBE_SECONDS = 0.5
-# While nobody reaches the store, one call in this time finds out whether it is
-# back; all others fail at once, so that their callers are told at once too.
-AWAY_PROBE_SECONDS = 0.25
-# A direct call that is silent for this time is also made through a peer; its
-# answer takes 10 ms as a rule, and its connection may be cut. Seconds.
-SILENCE = 0.18
-# The store is away for all only if it has served nothing for this time.
-AWAY_AFTER_SECONDS = 0.8
+# Seconds between attempts to call directly while calls are relayed.
+DIRECT_PROBE_INTERVAL = 0.5
+# Seconds between attempts to call an unavailable store. All other calls fail at
+# once, like behind an open circuit breaker.
+UNAVAILABLE_PROBE_INTERVAL = 0.25
+# Seconds without a reply after which a direct call is also made through a peer.
+DEFAULT_RELAY_DELAY = 0.18
+# Seconds without any successful direct call before a failure on both paths marks
+# the store as unavailable.
+UNAVAILABLE_AFTER = 0.8
 
 
 class StoreAccess(Enum):
-    """Say how calls reach the store at present."""
+    """How calls reach the store at present."""
 
     DIRECT = "directly"
     RELAYED = "through a peer"
@@ -37,11 +37,10 @@
 
 
 class RelayedClient:
-    """Make calls directly, and through a peer while the direct way fails.
+    """Store client that calls directly, and through a peer while that fails.
 
-    The store can turn away one process for seconds while it serves all
-    others. Its turns could not be kept and its callers' programs would end.
-    A call may arrive twice, by both ways: appends carry a sequence.
+    The store may reject one process for seconds while it serves the others. A
+    call may arrive on both paths; appends carry a sequence number.
     """
 
     def __init__(
@@ -49,106 +48,112 @@
         *,
         direct: StoreClient,
         relay: RelayCall,
-        relay_delay: Callable[[], float] = lambda: SILENCE,
+        relay_delay: Callable[[], float] = lambda: DEFAULT_RELAY_DELAY,
     ) -> None:
-        """Take both ways; `silence` is the time after which to try the second."""
+        """Take both paths; `relay_delay` returns the seconds before the second."""
         self._direct = direct
         self._relay = relay
         self._relay_delay = relay_delay
-        self._way = StoreAccess.DIRECT
-        self._probe_at = 0.0
-        self._served_at = float("-inf")
+        self._access = StoreAccess.DIRECT
+        self._next_probe = 0.0
+        self._last_direct_success = float("-inf")
         self._probe: asyncio.Task[StoreReply | Failure] | None = None
 
     @property
     def access(self) -> StoreAccess:
-        """Return how the last call reached the store."""
-        return self._way
+        """Return how calls reach the store at present."""
+        return self._access
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Make a call by the way that works."""
-        if self._way is StoreAccess.NONE and not self._probe_due(AWAY_PROBE_SECONDS):
-            return unavailable(call, "the store is away")
-        if self._way is StoreAccess.RELAYED:
-            if not call.waits and self._probe_due(PROBE_SECONDS):
+        """Make a call directly or through a peer, whichever works at present."""
+        if self._access is StoreAccess.NONE and not self._probe_due(
+            UNAVAILABLE_PROBE_INTERVAL
+        ):
+            return unavailable(call, "the store is unavailable")
+        if self._access is StoreAccess.RELAYED:
+            if not call.waits and self._probe_due(DIRECT_PROBE_INTERVAL):
                 self._probe = asyncio.create_task(self._try_direct(call))
             reply = await self._relay(call)
-            # The direct way may be back by now; only a failure says something.
-            if not _served(reply) and self._way is StoreAccess.RELAYED:
-                self._note(StoreAccess.NONE, _reason(reply))
+            # A direct call may have succeeded meanwhile; only a failure matters.
+            if not _succeeded(reply) and self._access is StoreAccess.RELAYED:
+                self._set_access(StoreAccess.NONE, _reason(reply))
             return reply
-        return await self._both_ways(call)
+        return await self._call_both(call)
 
-    async def _both_ways(self, call: StoreCall) -> StoreReply | Failure:
-        """Make a call directly, and through a peer where it fails or is silent.
+    async def _call_both(self, call: StoreCall) -> StoreReply | Failure:
+        """Call directly, and through a peer if that fails or gets no reply in time.
 
-        A process that is cut off from the store hears nothing. Each of its calls
-        waited for a second until its connection was given up, and so did the
-        ends of its callers' turns.
+        A process that is cut off from the store gets no errors, so it can't wait
+        for the direct call to fail.
         """
-        begun = asyncio.get_running_loop().time()
+        started = asyncio.get_running_loop().time()
         direct = asyncio.create_task(self._try_direct(call))
         relay: asyncio.Task[StoreReply | Failure] | None = None
         try:
             timeout = None if call.waits else self._relay_delay()
             await asyncio.wait([direct], timeout=timeout)
-            if direct.done() and _served(direct.result()):
+            if direct.done() and _succeeded(direct.result()):
                 return direct.result()
             relay = asyncio.create_task(self._relay(call))
-            return await self._first_served(direct, relay, begun)
+            return await self._first_success(direct, relay, started)
         finally:
             direct.cancel()
             if relay is not None:
                 relay.cancel()
 
-    async def _first_served(
+    async def _first_success(
         self,
         direct: asyncio.Task[StoreReply | Failure],
         relay: asyncio.Task[StoreReply | Failure],
-        begun: float,
+        started: float,
     ) -> StoreReply | Failure:
-        left = {direct, relay}
-        while left:
-            done, left = await asyncio.wait(left, return_when=asyncio.FIRST_COMPLETED)
-            if direct in done and _served(direct.result()):
+        pending = {direct, relay}
+        while pending:
+            done, pending = await asyncio.wait(
+                pending, return_when=asyncio.FIRST_COMPLETED
+            )
+            if direct in done and _succeeded(direct.result()):
                 return direct.result()
-            if relay in done and _served(relay.result()):
-                # While other calls are answered the direct way is only slow.
-                if self._served_at < begun:
+            if relay in done and _succeeded(relay.result()):
+                # If other direct calls succeeded meanwhile, this one is only slow.
+                if self._last_direct_success < started:
                     reason = _reason(direct.result()) if direct.done() else "silent"
-                    self._note(StoreAccess.RELAYED, reason)
+                    self._set_access(StoreAccess.RELAYED, reason)
                 return relay.result()
         reply = direct.result()
-        # A call that lost all its answers says nothing while others are served.
+        # One failed call doesn't matter while other direct calls succeed.
         now = asyncio.get_running_loop().time()
-        if now > self._served_at + AWAY_AFTER_SECONDS:
-            self._note(StoreAccess.NONE, _reason(reply))
+        if now > self._last_direct_success + UNAVAILABLE_AFTER:
+            self._set_access(StoreAccess.NONE, _reason(reply))
         return reply
 
     async def _try_direct(self, call: StoreCall) -> StoreReply | Failure:
         reply = await self._direct.call(call)
-        if _served(reply):
-            self._served_at = asyncio.get_running_loop().time()
-            self._note(StoreAccess.DIRECT, "")
+        if _succeeded(reply):
+            self._last_direct_success = asyncio.get_running_loop().time()
+            self._set_access(StoreAccess.DIRECT, "")
         return reply
 
     def _probe_due(self, interval: float) -> bool:
         now = asyncio.get_running_loop().time()
-        if now < self._probe_at:
+        if now < self._next_probe:
             return False
-        self._probe_at = now + interval
+        self._next_probe = now + interval
         return True
 
-    def _note(self, way: StoreAccess, reason: str) -> None:
-        if way is self._way:
+    def _set_access(self, access: StoreAccess, reason: str) -> None:
+        if access is self._access:
             return
         log.info(
-            "the store is reached {}, before {}; {}", way.value, self._way.value, reason
+            "the store is reached {}, before {}; {}",
+            access.value,
+            self._access.value,
+            reason,
         )
-        self._way = way
+        self._access = access
 
 
-def _served(reply: StoreReply | Failure) -> bool:
+def _succeeded(reply: StoreReply | Failure) -> bool:
     return isinstance(reply, StoreReply) and not reply.rejected
 
 
--- a/sequoiaarch/tests/storage/__init__.py
+++ b/sequoiaarch/tests/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Test package platform."""
+"""Tests of the clients of the platform's services."""
--- a/sequoiaarch/tests/storage/contract_tests.py
+++ b/sequoiaarch/tests/storage/contract_tests.py
@@ -1,4 +1,4 @@
-"""Test that every log and host list keeps its contract."""
+"""Test that each implementation of a platform service meets its interface."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 
 
 class LogContract:
-    """Check what every log must do; subclasses say which log."""
+    """Tests that every log must pass; subclasses create the log."""
 
     def make_log(self) -> AppendLog:
-        """Return a log without records."""
+        """Return an empty log."""
         raise NotImplementedError
 
     def run_with(self, work: Callable[[AppendLog], Any]) -> Any:
-        """Run a test in a loop of its own."""
+        """Run `work` on a new log in a new event loop."""
 
         async def run() -> Any:
             return await work(self.make_log())
 
         return asyncio.run(run())
 
-    def test_offsets_count_up(self) -> None:
-        """Give consecutive offsets to records that are appended together."""
+    def test_offsets_are_consecutive(self) -> None:
+        """Offsets are consecutive within each stream."""
 
         async def work(log: AppendLog) -> list[Any]:
             return [
@@ -44,8 +44,8 @@
 
         self.assertEqual(self.run_with(work), [0, 2, 0])  # type: ignore[attr-defined]
 
-    def test_pages(self) -> None:
-        """Read from an offset, no more than asked for."""
+    def test_limited_page(self) -> None:
+        """A read starts at its offset and returns at most `limit` records."""
 
         async def work(log: AppendLog) -> Page | Failure:
             await log.append("s", [b"a", b"b", b"c", b"d"])
@@ -55,8 +55,8 @@
         self.assertEqual(page.records, [b"b", b"c"])  # type: ignore[attr-defined]
         self.assertEqual((page.start, page.end), (1, 4))  # type: ignore[attr-defined]
 
-    def test_waiting_reader_is_woken(self) -> None:
-        """Give a waiting reader the record that comes."""
+    def test_waiting_reader_gets_record(self) -> None:
+        """A waiting reader gets a record as soon as it is appended."""
 
         async def work(log: AppendLog) -> Page | Failure:
             reading = asyncio.create_task(log.read("s", Offset(0), limit=9, wait=30.0))
@@ -67,7 +67,7 @@
         self.assertEqual(self.run_with(work).records, [b"a"])  # type: ignore[attr-defined]
 
     def test_empty_page(self) -> None:
-        """Answer a reader at the end with an empty page."""
+        """A read at the end returns an empty page."""
 
         async def work(log: AppendLog) -> Page | Failure:
             return await log.read("s", Offset(0), limit=9, wait=0)
@@ -77,38 +77,38 @@
 
 
 class MemoryLogTests(LogContract, unittest.TestCase):
-    """Check the log in memory."""
+    """Test the log in memory."""
 
     def make_log(self) -> AppendLog:
-        """Return a log without records."""
+        """Return an empty log."""
         return MemoryLog()
 
 
 class HttpLogTests(LogContract, unittest.TestCase):
-    """Check the log over HTTP, with its faults."""
+    """Test the log over HTTP, also with injected faults."""
 
     def setUp(self) -> None:
-        """Start the platform."""
+        """Start a platform stand-in."""
         self.platform = PlatformStandIn()
         self.platform.start()
         self.addCleanup(self.platform.stop)
 
     def make_log(self) -> AppendLog:
-        """Return a log without records."""
+        """Return an empty log."""
         client = HttpClient(url=self.platform.url, threads=4)
         self.addCleanup(client.close)
         return HttpLog(client=client)
 
     def test_faults(self) -> None:
-        """Fail as the table says, and tell nothing untrue."""
+        """An append fails if and only if its reply is not received."""
 
         @dataclass(frozen=True)
         class Case:
-            """Name a fault, whether the append fails and what it leaves."""
+            """Faults, whether the append fails, and the records stored."""
 
             faults: Faults
             fails: bool
-            kept: int
+            stored: int
 
         cases = [
             Case(Faults(down=True), True, 0),
@@ -129,10 +129,10 @@
                 self.assertEqual(isinstance(result, Failure), case.fails)
                 if isinstance(result, Failure):
                     self.assertIs(result.kind, ErrorKind.LOG_UNAVAILABLE)
-                self.assertEqual(len(self.platform.records(stream)), case.kept)
+                self.assertEqual(len(self.platform.records(stream)), case.stored)
 
-    def test_retention(self) -> None:
-        """Tell where the log's memory begins."""
+    def test_trimmed_records(self) -> None:
+        """A read before the oldest retained record starts at that record."""
         self.platform.faults = Faults(retention=2)
 
         async def work(log: AppendLog) -> Page | Failure:
@@ -143,8 +143,8 @@
         self.assertEqual((page.first, page.start), (1, 1))
         self.assertEqual(page.records, [b"b", b"c"])
 
-    def test_nobody_there(self) -> None:
-        """Fail with a reason where nothing listens."""
+    def test_nothing_listens(self) -> None:
+        """An append fails if nothing listens at the address."""
         self.platform.stop()
 
         async def work(log: AppendLog) -> Offset | Failure:
@@ -154,16 +154,16 @@
 
 
 class HostListTests(unittest.TestCase):
-    """Check both host lists."""
+    """Test both host lists."""
 
-    def test_memory(self) -> None:
-        """Name the hosts that were given."""
-        listed = asyncio.run(MemoryHostList(hosts=[HostName("h")]).hosts())
-        assert not isinstance(listed, Failure)
-        self.assertEqual([one.host for one in listed], ["h"])
+    def test_fixed_hosts(self) -> None:
+        """The list in memory returns the hosts that it was created with."""
+        hosts = asyncio.run(MemoryHostList(hosts=[HostName("h")]).hosts())
+        assert not isinstance(hosts, Failure)
+        self.assertEqual([entry.host for entry in hosts], ["h"])
 
     def test_http_lags(self) -> None:
-        """Show a change only after the lag."""
+        """A change is visible only after the platform's lag."""
         platform = PlatformStandIn()
         platform.start()
         self.addCleanup(platform.stop)
@@ -171,24 +171,24 @@
         self.addCleanup(client.close)
         hosts = HttpHostList(client=client)
 
-        def listed() -> dict[HostName, HostState]:
+        def states() -> dict[HostName, HostState]:
             found = asyncio.run(hosts.hosts())
             assert not isinstance(found, Failure)
-            return {one.host: one.state for one in found}
+            return {entry.host: entry.state for entry in found}
 
         platform.set_host(HostName("h"), HostState.LIVE)
-        self.assertEqual(listed(), {"h": HostState.LIVE})
+        self.assertEqual(states(), {"h": HostState.LIVE})
         platform.faults.host_lag = 0.3
         platform.set_host(HostName("h"), HostState.LEAVING)
-        self.assertEqual(listed(), {"h": HostState.LIVE})
-        wait_until(lambda: listed() == {"h": HostState.LEAVING}, "the change")
+        self.assertEqual(states(), {"h": HostState.LIVE})
+        wait_until(lambda: states() == {"h": HostState.LEAVING}, "the change")
 
 
 class WeightStoreTests(unittest.TestCase):
-    """Check the weight store."""
+    """Test the weight store."""
 
     def test_rate_limit(self) -> None:
-        """Let loads beyond the rate wait."""
+        """A reservation above the rate limit has to wait."""
         platform = PlatformStandIn()
         platform.start()
         self.addCleanup(platform.stop)
--- a/sequoiaarch/tests/storage/ways_tests.py
+++ b/sequoiaarch/tests/storage/ways_tests.py
@@ -1,4 +1,4 @@
-"""Test how calls reach a store that answers late, in part or not at all."""
+"""Test hedged and relayed calls to a slow, partly or fully unavailable store."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from ...storage.hedged import HedgedClient
 from ...storage.relayed import RelayedClient, StoreAccess
 
-PATIENCE = 10.0
-CALL = StoreCall(method="GET", path="/x", timeout=PATIENCE)
-GOOD = StoreReply(status=200, body=b"good")
-BUSY = StoreReply(status=503, body=b"")
+TIMEOUT = 10.0
+CALL = StoreCall(method="GET", path="/x", timeout=TIMEOUT)
+SUCCESS = StoreReply(status=200, body=b"good")
+REJECTED = StoreReply(status=503, body=b"")
 FAILED = Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="down")
 
 
-class _Caller:
-    """Answer calls as a test says, and count them."""
+class _FakeClient:
+    """Store client that returns given replies and counts the calls."""
 
     def __init__(self, *replies: StoreReply | Failure | None) -> None:
         self.replies = list(replies)
         self.calls = 0
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Return the next reply; None stands for an answer that never comes."""
+        """Return the next reply; never return if it is None."""
         self.calls += 1
         reply = self.replies[0] if len(self.replies) == 1 else self.replies.pop(0)
         if reply is None:
@@ -34,159 +34,145 @@
         return reply
 
 
-class HedgedTests(unittest.IsolatedAsyncioTestCase):
-    """Test the second call for a late answer."""
-
-    async def test_lost_answer(self) -> None:
-        """Get the answer by a second call when the first one's is lost.
-
-        The store carries the first call out and its answer is lost. The end
-        of a turn would wait for the whole timeout.
-        """
-        caller = _Caller(None, GOOD)
-        async with asyncio.timeout(PATIENCE / 2):
-            reply = await HedgedClient(client=caller).call(CALL)
-        self.assertEqual(reply, GOOD)
-        self.assertEqual(caller.calls, 2)
-
-    async def test_two_lost_answers(self) -> None:
-        """Get the answer by a third call when two are lost.
-
-        The store loses a third of its answers. One append in eight loses two,
-        and its process then took the store to be away and refused turns.
-        """
-        caller = _Caller(None, None, GOOD)
-        async with asyncio.timeout(PATIENCE / 2):
-            self.assertEqual(await HedgedClient(client=caller).call(CALL), GOOD)
-        self.assertEqual(caller.calls, 3)
-
-    async def test_in_time(self) -> None:
-        """Call once when the answer comes."""
-        caller = _Caller(GOOD)
-        hedged = HedgedClient(client=caller)
+class HedgedClientTests(unittest.IsolatedAsyncioTestCase):
+    """Test hedged calls."""
+
+    async def test_lost_reply(self) -> None:
+        """A lost reply costs one hedge delay, not the whole timeout."""
+        client = _FakeClient(None, SUCCESS)
+        async with asyncio.timeout(TIMEOUT / 2):
+            reply = await HedgedClient(client=client).call(CALL)
+        self.assertEqual(reply, SUCCESS)
+        self.assertEqual(client.calls, 2)
+
+    async def test_two_lost_replies(self) -> None:
+        """Two lost replies don't make the store look unavailable."""
+        client = _FakeClient(None, None, SUCCESS)
+        async with asyncio.timeout(TIMEOUT / 2):
+            self.assertEqual(await HedgedClient(client=client).call(CALL), SUCCESS)
+        self.assertEqual(client.calls, 3)
+
+    async def test_reply_in_time(self) -> None:
+        """A call whose reply is in time is not repeated."""
+        client = _FakeClient(SUCCESS)
+        hedged = HedgedClient(client=client)
         for _ in range(10):
-            self.assertEqual(await hedged.call(CALL), GOOD)
-        self.assertEqual(caller.calls, 10)
+            self.assertEqual(await hedged.call(CALL), SUCCESS)
+        self.assertEqual(client.calls, 10)
 
-    async def test_both_fail(self) -> None:
-        """Fail when both calls do."""
-        reply = await HedgedClient(client=_Caller(FAILED)).call(CALL)
+    async def test_all_calls_fail(self) -> None:
+        """A call fails if its repeat fails too."""
+        reply = await HedgedClient(client=_FakeClient(FAILED)).call(CALL)
         self.assertEqual(reply, FAILED)
 
 
-class RelayedTests(unittest.IsolatedAsyncioTestCase):
-    """Test the way through a peer."""
+class RelayedClientTests(unittest.IsolatedAsyncioTestCase):
+    """Test calls through a peer."""
 
-    async def test_turned_away(self) -> None:
-        """Reach the store through a peer, and directly again once it serves.
+    async def test_rejected_calls_are_relayed(self) -> None:
+        """Calls are relayed while the store rejects this process only.
 
-        The store turns this process away with a status while it serves the
-        others. Its callers' turns must still be kept.
+        Direct calls resume once the store accepts them again.
         """
-        direct, relay = _Caller(BUSY), _Caller(GOOD)
-        caller = RelayedClient(direct=direct, relay=relay.call)
+        direct, relay = _FakeClient(REJECTED), _FakeClient(SUCCESS)
+        client = RelayedClient(direct=direct, relay=relay.call)
         for _ in range(5):
-            self.assertEqual(await caller.call(CALL), GOOD)
-        self.assertIs(caller.access, StoreAccess.RELAYED)
-        direct.replies = [GOOD]
-        async with asyncio.timeout(PATIENCE):
-            while caller.access is not StoreAccess.DIRECT:
-                await caller.call(CALL)
+            self.assertEqual(await client.call(CALL), SUCCESS)
+        self.assertIs(client.access, StoreAccess.RELAYED)
+        direct.replies = [SUCCESS]
+        async with asyncio.timeout(TIMEOUT):
+            while client.access is not StoreAccess.DIRECT:
+                await client.call(CALL)
                 await asyncio.sleep(0.05)
 
-    async def test_silent_direct_way(self) -> None:
-        """Ask a peer while the direct way says nothing, not after its timeout.
+    async def test_direct_call_without_reply(self) -> None:
+        """A call without a reply is relayed after a delay, not after its timeout.
 
-        A process is cut off from the store without a reset: its calls hang. The
-        end of a turn waits for its commit, and its program is late by each
-        second that this takes.
+        Otherwise a process that is cut off from the store delays every commit.
         """
-        direct, relay = _Caller(None), _Caller(GOOD)
-        caller = RelayedClient(
+        direct, relay = _FakeClient(None), _FakeClient(SUCCESS)
+        client = RelayedClient(
             direct=direct, relay=relay.call, relay_delay=lambda: 0.01
         )
-        async with asyncio.timeout(PATIENCE):
-            self.assertEqual(await caller.call(CALL), GOOD)
-        self.assertIs(caller.access, StoreAccess.RELAYED)
+        async with asyncio.timeout(TIMEOUT):
+            self.assertEqual(await client.call(CALL), SUCCESS)
+        self.assertIs(client.access, StoreAccess.RELAYED)
         self.assertEqual(direct.calls, 1)
 
-    async def test_slow_call_among_served_ones(self) -> None:
-        """Stay with the direct way where one call is silent and others are served."""
-        direct, relay = _Caller(None, GOOD), _Caller(GOOD)
-        asked = asyncio.Event()
+    async def test_slow_call_among_successful_ones(self) -> None:
+        """One slow call doesn't switch to relaying while other calls succeed."""
+        direct, relay = _FakeClient(None, SUCCESS), _FakeClient(SUCCESS)
+        relay_called = asyncio.Event()
 
-        async def relayed(call: StoreCall) -> StoreReply | Failure:
-            asked.set()
+        async def delayed_relay(call: StoreCall) -> StoreReply | Failure:
+            relay_called.set()
             await asyncio.sleep(0.05)
             return await relay.call(call)
 
-        caller = RelayedClient(direct=direct, relay=relayed, relay_delay=lambda: 0.01)
-        silent = asyncio.create_task(caller.call(CALL))
-        await asyncio.wait_for(asked.wait(), PATIENCE)
-        self.assertEqual(await caller.call(CALL), GOOD)
-        self.assertEqual(await silent, GOOD)
-        self.assertIs(caller.access, StoreAccess.DIRECT)
+        client = RelayedClient(
+            direct=direct, relay=delayed_relay, relay_delay=lambda: 0.01
+        )
+        slow_call = asyncio.create_task(client.call(CALL))
+        await asyncio.wait_for(relay_called.wait(), TIMEOUT)
+        self.assertEqual(await client.call(CALL), SUCCESS)
+        self.assertEqual(await slow_call, SUCCESS)
+        self.assertIs(client.access, StoreAccess.DIRECT)
 
-    async def test_one_call_fails_among_served_ones(self) -> None:
-        """Go on asking while other calls are served.
+    async def test_failed_call_among_successful_ones(self) -> None:
+        """One failed call doesn't mark the store unavailable after a success.
 
-        One call loses all its answers, and no peer can carry it either. Others
-        have just been served: the store is not away, and nobody's turn may be
-        refused for it.
+        Otherwise turns are refused although the store works.
         """
-        direct, relay = _Caller(GOOD), _Caller(FAILED)
-        caller = RelayedClient(direct=direct, relay=relay.call)
-        await caller.call(CALL)
+        direct, relay = _FakeClient(SUCCESS), _FakeClient(FAILED)
+        client = RelayedClient(direct=direct, relay=relay.call)
+        await client.call(CALL)
         direct.replies = [FAILED]
-        self.assertEqual(await caller.call(CALL), FAILED)
-        self.assertIs(caller.access, StoreAccess.DIRECT)
-        direct.replies = [GOOD]
-        self.assertEqual(await caller.call(CALL), GOOD)
+        self.assertEqual(await client.call(CALL), FAILED)
+        self.assertIs(client.access, StoreAccess.DIRECT)
+        direct.replies = [SUCCESS]
+        self.assertEqual(await client.call(CALL), SUCCESS)
 
-    async def test_relayed_call_ends_after_the_return(self) -> None:
-        """Stay with the direct way when a relayed call ends later.
+    async def test_relayed_call_ends_after_direct_success(self) -> None:
+        """A relayed call that ends after a direct success doesn't restore relaying.
 
-        A call is on its way through a peer while the store takes this process
-        back. Its good answer is no sign that the direct way fails; taken for
-        one, calls went through peers for good.
+        Otherwise calls stay relayed although the store accepts direct ones.
         """
-        direct, relay = _Caller(BUSY), _Caller(GOOD)
-        held = asyncio.Event()
+        direct, relay = _FakeClient(REJECTED), _FakeClient(SUCCESS)
+        relay_allowed = asyncio.Event()
 
-        async def relayed(call: StoreCall) -> StoreReply | Failure:
+        async def delayed_relay(call: StoreCall) -> StoreReply | Failure:
             if call.path == "/slow":
-                await held.wait()
+                await relay_allowed.wait()
             return await relay.call(call)
 
-        caller = RelayedClient(direct=direct, relay=relayed)
-        await caller.call(CALL)
-        slow = StoreCall(method="GET", path="/slow", timeout=PATIENCE)
-        pending = asyncio.create_task(caller.call(slow))
+        client = RelayedClient(direct=direct, relay=delayed_relay)
+        await client.call(CALL)
+        slow_request = StoreCall(method="GET", path="/slow", timeout=TIMEOUT)
+        pending = asyncio.create_task(client.call(slow_request))
         await asyncio.sleep(0)
-        direct.replies = [GOOD]
-        async with asyncio.timeout(PATIENCE):
-            while caller.access is not StoreAccess.DIRECT:
-                await caller.call(CALL)
+        direct.replies = [SUCCESS]
+        async with asyncio.timeout(TIMEOUT):
+            while client.access is not StoreAccess.DIRECT:
+                await client.call(CALL)
                 await asyncio.sleep(0.05)
-            held.set()
-            self.assertEqual(await pending, GOOD)
-        self.assertIs(caller.access, StoreAccess.DIRECT)
+            relay_allowed.set()
+            self.assertEqual(await pending, SUCCESS)
+        self.assertIs(client.access, StoreAccess.DIRECT)
 
-    async def test_away(self) -> None:
-        """Ask for a store that nobody reaches now and then, not for each call.
+    async def test_unavailable_store_is_probed(self) -> None:
+        """An unavailable store is probed at intervals, not by every call.
 
-        The store is down. Every append, read and peer's relay that is tried
-        all the same is priced, and its caller waits to be told.
+        The other calls fail at once. Calls resume when the store is back.
         """
-        direct, relay = _Caller(FAILED), _Caller(FAILED)
-        caller = RelayedClient(direct=direct, relay=relay.call)
-        self.assertIsInstance(await caller.call(CALL), Failure)
-        self.assertIs(caller.access, StoreAccess.NONE)
+        direct, relay = _FakeClient(FAILED), _FakeClient(FAILED)
+        client = RelayedClient(direct=direct, relay=relay.call)
+        self.assertIsInstance(await client.call(CALL), Failure)
+        self.assertIs(client.access, StoreAccess.NONE)
         for _ in range(100):
-            self.assertIsInstance(await caller.call(CALL), Failure)
+            self.assertIsInstance(await client.call(CALL), Failure)
         self.assertLess(direct.calls, 10)
-        direct.replies = [GOOD]
-        async with asyncio.timeout(PATIENCE):
-            while await caller.call(CALL) != GOOD:
+        direct.replies = [SUCCESS]
+        async with asyncio.timeout(TIMEOUT):
+            while await client.call(CALL) != SUCCESS:
                 await asyncio.sleep(0.05)
-        self.assertIs(caller.access, StoreAccess.DIRECT)
+        self.assertIs(client.access, StoreAccess.DIRECT)
