--- a/sequoiaarch/tests/wire/__init__.py
+++ b/sequoiaarch/tests/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Test package wire."""
+"""Tests of the internal protocol."""
--- a/sequoiaarch/tests/wire/links_tests.py
+++ b/sequoiaarch/tests/wire/links_tests.py
@@ -1,4 +1,4 @@
-"""Test the links between processes."""
+"""Test links between processes."""
 
 from __future__ import annotations
 
@@ -29,27 +29,27 @@
     encode,
 )
 
-SILENCE = 0.6
+SILENCE_LIMIT = 0.6
 Handler = Callable[[Request, Send], Awaitable[Reply]]
 
 
-async def answer(request: Request, send: Send) -> Reply:
-    """Send two pieces, then a load."""
+async def reply_in_chunks(request: Request, send: Send) -> Reply:
+    """Send two chunks, then a load reply."""
     await send(Chunk(data=b"one"))
     await send(Chunk(data=b"two"))
     return LoadReply(load=Load(target=TargetName("t")))
 
 
 class LinkTests(unittest.TestCase):
-    """Send requests over real sockets."""
+    """Send requests over TCP sockets."""
 
-    def run_linked(
+    def run_with_link(
         self,
         handler: Handler,
         work: Callable[[Link, Responder, str], Awaitable[Any]],
         keys: CurveKeys | None = None,
     ) -> Any:
-        """Run a test with a responder and a link to it."""
+        """Run `work` with a responder and a link to it."""
 
         async def run() -> Any:
             context = zmq.asyncio.Context()
@@ -57,32 +57,32 @@
             responder = Responder(
                 context=context, address=address, handler=handler, keys=keys
             )
-            serving = asyncio.create_task(responder.run())
+            responder_task = asyncio.create_task(responder.run())
             link = Link(
-                context=context, address=address, keys=keys, silence_limit=SILENCE
+                context=context, address=address, keys=keys, silence_limit=SILENCE_LIMIT
             )
             try:
                 return await work(link, responder, address)
             finally:
-                serving.cancel()
+                responder_task.cancel()
                 link.close()
                 responder.close()
                 context.destroy(linger=0)
 
         return asyncio.run(run())
 
-    def test_pieces_in_order(self) -> None:
-        """Get all pieces of an answer in order."""
+    def test_replies_in_order(self) -> None:
+        """The replies to a request arrive in order."""
 
         async def work(link: Link, _: Responder, address: str) -> list[Reply]:
             return [reply async for reply in link.stream(LoadRequest())]
 
-        replies = self.run_linked(answer, work)
-        self.assertEqual([type(one) for one in replies], [Chunk, Chunk, LoadReply])
-        self.assertEqual([one.data for one in replies[:2]], [b"one", b"two"])
+        replies = self.run_with_link(reply_in_chunks, work)
+        self.assertEqual([type(reply) for reply in replies], [Chunk, Chunk, LoadReply])
+        self.assertEqual([reply.data for reply in replies[:2]], [b"one", b"two"])
 
-    def test_many_at_once(self) -> None:
-        """Give each request its own answer."""
+    def test_concurrent_requests(self) -> None:
+        """Each of many concurrent requests gets its own reply."""
 
         async def echo(request: Request, send: Send) -> Reply:
             assert isinstance(request, DrainRequest)
@@ -91,16 +91,16 @@
             return Accepted(load=load)
 
         async def work(link: Link, _: Responder, address: str) -> list[Reply]:
-            asked = [link.call(DrainRequest(drain=n % 3 == 0)) for n in range(300)]
-            return list(await asyncio.gather(*asked))
+            calls = [link.call(DrainRequest(drain=n % 3 == 0)) for n in range(300)]
+            return list(await asyncio.gather(*calls))
 
-        replies = self.run_linked(echo, work)
+        replies = self.run_with_link(echo, work)
         self.assertEqual(
-            [one.load.draining for one in replies], [n % 3 == 0 for n in range(300)]
+            [reply.load.draining for reply in replies], [n % 3 == 0 for n in range(300)]
         )
 
-    def test_encrypted(self) -> None:
-        """Talk over links that settings protect by keys."""
+    def test_encrypted_link(self) -> None:
+        """Requests work over an encrypted link."""
         public, secret = zmq.curve_keypair()
         keys = CurveKeys(
             public=public.decode(), secret=secret.decode(), server=public.decode()
@@ -109,43 +109,44 @@
         async def work(link: Link, _: Responder, address: str) -> Reply:
             return await link.call(LoadRequest())
 
-        self.assertIsInstance(self.run_linked(answer, work, keys), LoadReply)
+        self.assertIsInstance(
+            self.run_with_link(reply_in_chunks, work, keys), LoadReply
+        )
 
     def test_failing_handler(self) -> None:
-        """Answer a request whose handler fails."""
+        """A request whose handler raises gets a failure."""
 
-        async def broken(request: Request, send: Send) -> Reply:
+        async def failing(request: Request, send: Send) -> Reply:
             raise ValueError("on purpose")
 
         async def work(link: Link, _: Responder, address: str) -> Reply:
             return await link.call(LoadRequest())
 
-        reply = self.run_linked(broken, work)
+        reply = self.run_with_link(failing, work)
         self.assertIs(reply.failure.kind, ErrorKind.INTERNAL)
 
-    def test_nobody_there_is_not_run(self) -> None:
-        """Say truly that nothing left, and never deliver it later.
+    def test_unsent_request_is_not_run(self) -> None:
+        """A request that could not be sent is not run, also not later.
 
-        Nobody listens; the request fails as not run. Then a peer comes up at
-        that address. It must not get the old request, only the new one.
+        A peer that starts at the address afterwards gets only the new request.
         """
-        got: list[Request] = []
+        received: list[Request] = []
 
-        async def note(request: Request, send: Send) -> Reply:
-            got.append(request)
+        async def record(request: Request, send: Send) -> Reply:
+            received.append(request)
             return Accepted()
 
         async def work() -> tuple[Reply, Reply]:
             context = zmq.asyncio.Context()
             address = f"tcp://127.0.0.1:{free_port()}"
-            link = Link(context=context, address=address, silence_limit=SILENCE)
+            link = Link(context=context, address=address, silence_limit=SILENCE_LIMIT)
             first = await link.call(DrainRequest(drain=True))
-            responder = Responder(context=context, address=address, handler=note)
-            serving = asyncio.create_task(responder.run())
+            responder = Responder(context=context, address=address, handler=record)
+            responder_task = asyncio.create_task(responder.run())
             second = await link.call(DrainRequest(drain=False))
             while isinstance(second, Failed):
                 second = await link.call(DrainRequest(drain=False))
-            serving.cancel()
+            responder_task.cancel()
             link.close()
             responder.close()
             context.destroy(linger=0)
@@ -155,13 +156,12 @@
         assert isinstance(first, Failed)
         self.assertIs(first.failure.run_state, NotRun.YES)
         self.assertIsInstance(second, Accepted)
-        self.assertEqual(got, [DrainRequest(drain=False)])
+        self.assertEqual(received, [DrainRequest(drain=False)])
 
-    def test_silent_peer_is_unknown(self) -> None:
-        """End a request whose peer froze after it had left.
+    def test_silent_peer_leaves_outcome_unknown(self) -> None:
+        """A request to a frozen peer ends after the silence limit.
 
-        The peer takes the request and then neither answers nor reacts to
-        pings. The request ends after the silence limit, as unknown.
+        It may have run, so its outcome is unknown.
         """
 
         async def run() -> Reply:
@@ -171,7 +171,7 @@
             link = Link(
                 context=context,
                 address=f"tcp://127.0.0.1:{port}",
-                silence_limit=SILENCE,
+                silence_limit=SILENCE_LIMIT,
             )
             reply = await link.call(LoadRequest())
             link.close()
@@ -182,8 +182,8 @@
         assert isinstance(reply, Failed)
         self.assertIs(reply.failure.run_state, NotRun.UNKNOWN)
 
-    def test_lost_connection_ends_requests(self) -> None:
-        """End open requests as unknown when the connection breaks."""
+    def test_lost_connection_ends_pending_requests(self) -> None:
+        """Pending requests end as unknown when the connection breaks."""
         started = asyncio.Event
 
         async def run() -> Reply:
@@ -197,13 +197,13 @@
             context = zmq.asyncio.Context()
             address = f"tcp://127.0.0.1:{free_port()}"
             responder = Responder(context=context, address=address, handler=hang)
-            serving = asyncio.create_task(responder.run())
+            responder_task = asyncio.create_task(responder.run())
             link = Link(context=context, address=address, silence_limit=3600)
-            asking = asyncio.create_task(link.call(LoadRequest(), timeout=3600))
+            pending = asyncio.create_task(link.call(LoadRequest(), timeout=3600))
             await arrived.wait()
-            serving.cancel()
+            responder_task.cancel()
             responder.close()
-            reply = await asking
+            reply = await pending
             link.close()
             context.destroy(linger=0)
             return reply
@@ -212,7 +212,7 @@
         assert isinstance(reply, Failed)
         self.assertIs(reply.failure.run_state, NotRun.UNKNOWN)
 
-    def test_strange_bytes(self) -> None:
-        """Make nothing of bytes that are no messages of ours."""
+    def test_invalid_bytes(self) -> None:
+        """Bytes that are not a valid message decode to None."""
         self.assertIsNone(decode_request(b"\xc1"))
         self.assertIsNone(decode_reply(encode(LoadRequest())))
--- a/sequoiaarch/wire/__init__.py
+++ b/sequoiaarch/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Speak the inner protocol between the system's own processes."""
+"""Internal protocol between the processes of the system."""
--- a/sequoiaarch/wire/links.py
+++ b/sequoiaarch/wire/links.py
@@ -1,4 +1,4 @@
-"""Carry requests and their replies between processes over ZeroMQ."""
+"""Exchange requests and replies between processes over ZeroMQ."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
 
 PING_INTERVAL = 0.5
 SILENCE_LIMIT = 3.0
-RECONNECT_LIMIT = 0.3
+RECONNECT_TIMEOUT = 0.3
 ID_BYTES = 8
-FRAMES_A_REPLY = 3
-MORE = b"+"
-LAST = b"."
-HIGH_WATER = 100_000
+FRAMES_PER_REPLY = 3
+MORE_REPLIES = b"+"
+LAST_REPLY = b"."
+HIGH_WATER_MARK = 100_000
 PING_ID = (0).to_bytes(ID_BYTES, "big")
 
 
 @dataclass(frozen=True, kw_only=True)
 class CurveKeys:
-    """Hold the keys that protect the links; Z85 text as ZeroMQ uses it."""
+    """CurveZMQ keys that protect links, in Z85 encoding."""
 
     public: str
     secret: str
@@ -54,7 +54,7 @@
 
 
 class Responder:
-    """Answer the requests of all peers on one bound socket."""
+    """Server that handles the requests of all peers on one bound socket."""
 
     def __init__(
         self,
@@ -67,8 +67,8 @@
         self._handler = handler
         self._socket = context.socket(zmq.ROUTER)
         self._socket.setsockopt(zmq.LINGER, 1000)
-        self._socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
-        self._socket.setsockopt(zmq.RCVHWM, HIGH_WATER)
+        self._socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
+        self._socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
         if keys is not None:
             self._socket.curve_server = True
             self._socket.curve_secretkey = keys.secret.encode()
@@ -83,7 +83,7 @@
         return self._socket.getsockopt_string(zmq.LAST_ENDPOINT)
 
     async def run(self) -> None:
-        """Receive requests and answer each in a task of its own."""
+        """Receive requests and handle each in its own task, until cancelled."""
         while True:
             frames = await self._socket.recv_multipart()
             if len(frames) != 3:
@@ -91,43 +91,47 @@
             peer, request_id, body = frames
             request = decode_request(body)
             if isinstance(request, Ping):
-                self._reply(peer, request_id, LAST, Accepted())
+                self._queue_reply(peer, request_id, LAST_REPLY, Accepted())
                 continue
-            task = asyncio.create_task(self._answer(peer, request_id, request))
+            task = asyncio.create_task(self._handle(peer, request_id, request))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _answer(
+    async def _handle(
         self, peer: bytes, request_id: bytes, request: Request | None
     ) -> None:
         if request is None:
-            failure = Failure(kind=ErrorKind.MALFORMED, reason="message not understood")
-            self._reply(peer, request_id, LAST, Failed(failure=failure))
+            failure = Failure(
+                kind=ErrorKind.MALFORMED, reason="cannot decode the request"
+            )
+            self._queue_reply(peer, request_id, LAST_REPLY, Failed(failure=failure))
             return
 
         async def send(reply: Reply) -> None:
-            self._reply(peer, request_id, MORE, reply)
+            self._queue_reply(peer, request_id, MORE_REPLIES, reply)
 
         try:
             last = await self._handler(request, send)
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            log.exception("A handler failed on {}.", type(request).__name__)
+            log.exception("The handler of {} failed.", type(request).__name__)
             reason = f"{type(error).__name__}: {error}"
             last = Failed(failure=Failure(kind=ErrorKind.INTERNAL, reason=reason))
-        self._reply(peer, request_id, LAST, last)
+        self._queue_reply(peer, request_id, LAST_REPLY, last)
 
-    def _reply(self, peer: bytes, request_id: bytes, mark: bytes, reply: Reply) -> None:
-        """Put a reply into the next message to a peer.
+    def _queue_reply(
+        self, peer: bytes, request_id: bytes, flag: bytes, reply: Reply
+    ) -> None:
+        """Queue a reply for the next message to a peer.
 
-        An engine gives a token to all its streams at once. What goes to one
-        peer in the same turn of the event loop travels as one message.
+        Replies to one peer from the same iteration of the event loop are sent
+        as one message, since an engine advances all its streams at once.
         """
         if not self._outbox:
             asyncio.get_running_loop().call_soon(self._flush)
         frames = self._outbox.setdefault(peer, [peer])
-        frames += (request_id, mark, encode(reply))
+        frames += (request_id, flag, encode(reply))
 
     def _flush(self) -> None:
         outbox = self._outbox
@@ -135,31 +139,30 @@
         if self._socket.closed:
             return
         for frames in outbox.values():
-            # A router drops what a vanished peer can't take; the peer's own
-            # requests end by its silence limit.
+            # A ROUTER socket drops messages to a lost peer. The peer's requests
+            # then end at its silence limit.
             sent = self._socket.send_multipart(frames, flags=zmq.NOBLOCK)
-            asyncio.ensure_future(sent).add_done_callback(_ignore_failure)
+            asyncio.ensure_future(sent).add_done_callback(_ignore_send_error)
 
     def close(self) -> None:
-        """Stop answering."""
+        """Cancel all handlers, send the queued replies and close the socket."""
         for task in self._tasks:
             task.cancel()
         self._flush()
         self._socket.close()
 
 
-def _ignore_failure(sent: asyncio.Future[Any]) -> None:
+def _ignore_send_error(sent: asyncio.Future[Any]) -> None:
     if not sent.cancelled():
         sent.exception()
 
 
 class Link:
-    """Send requests to one peer and hand out its replies.
+    """Client that sends requests to one peer and reconnects when needed.
 
-    A peer whose connection breaks is taken for lost at once. While requests
-    are open the peer is pinged too, and one that stays silent for
-    `SILENCE_LIMIT` seconds is taken for lost, so that a frozen process holds
-    no caller for longer than that. All open requests then end.
+    All pending requests fail when the connection breaks, or when the peer sends
+    nothing for `silence_limit` seconds. The peer is pinged while requests are
+    pending, so that a frozen process is detected too.
     """
 
     def __init__(
@@ -175,35 +178,35 @@
         self._keys = keys
         self._silence_limit = silence_limit
         self._ids = itertools.count(1)
-        self._open: dict[bytes, asyncio.Queue[tuple[bytes, Reply]]] = {}
-        self._heard = 0.0
-        self._broken = False
+        self._pending: dict[bytes, asyncio.Queue[tuple[bytes, Reply]]] = {}
+        self._last_received = 0.0
+        self._disconnected = False
         self._socket = self._connect()
-        self._tasks = self._start()
-        self._watcher = asyncio.create_task(self._watch())
+        self._tasks = self._start_tasks()
+        self._ping_task = asyncio.create_task(self._ping_while_pending())
 
     @property
     def address(self) -> str:
         """Return the address of the peer."""
         return self._address
 
-    def _start(self) -> list[asyncio.Task[None]]:
+    def _start_tasks(self) -> list[asyncio.Task[None]]:
         monitor = self._socket.get_monitor_socket(
             zmq.EVENT_DISCONNECTED | zmq.EVENT_HANDSHAKE_SUCCEEDED
         )
         return [
             asyncio.create_task(self._receive()),
-            asyncio.create_task(self._watch_connection(monitor)),
+            asyncio.create_task(self._monitor_connection(monitor)),
         ]
 
     def _connect(self) -> zmq.asyncio.Socket:
         socket = self._context.socket(zmq.DEALER)
         socket.setsockopt(zmq.LINGER, 0)
-        # A message waits here until a connection stands, and not inside the
-        # socket, so that "it never left" can be said truly.
+        # Messages are not queued in the socket before it is connected, so that
+        # a request that could not be sent is known not to have run.
         socket.setsockopt(zmq.IMMEDIATE, 1)
-        socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
-        socket.setsockopt(zmq.RCVHWM, HIGH_WATER)
+        socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
+        socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
         socket.setsockopt(zmq.RECONNECT_IVL, 50)
         socket.setsockopt(zmq.RECONNECT_IVL_MAX, 500)
         if self._keys is not None:
@@ -214,26 +217,26 @@
         return socket
 
     async def stream(self, request: Message) -> AsyncIterator[Reply]:
-        """Send a request and yield its replies up to the last."""
+        """Send a request and yield its replies, up to and including the last."""
         request_id = next(self._ids).to_bytes(ID_BYTES, "big")
         replies: asyncio.Queue[tuple[bytes, Reply]] = asyncio.Queue()
-        if not self._open:
-            self._heard = asyncio.get_running_loop().time()
-        self._open[request_id] = replies
+        if not self._pending:
+            self._last_received = asyncio.get_running_loop().time()
+        self._pending[request_id] = replies
         try:
             if not await self._send([request_id, encode(request)]):
-                yield Failed(failure=self._lost("no connection", NotRun.YES))
+                yield Failed(failure=self._interrupted("no connection", NotRun.YES))
                 return
-            mark = MORE
-            while mark == MORE:
-                mark, reply = await replies.get()
+            flag = MORE_REPLIES
+            while flag == MORE_REPLIES:
+                flag, reply = await replies.get()
                 yield reply
         finally:
-            self._open.pop(request_id, None)
+            self._pending.pop(request_id, None)
 
     async def _send(self, frames: list[bytes]) -> bool:
-        """Send frames; False says that nothing left this process."""
-        limit = RECONNECT_LIMIT if self._broken else self._silence_limit
+        """Send frames; return False if they have not left this process."""
+        limit = RECONNECT_TIMEOUT if self._disconnected else self._silence_limit
         try:
             async with asyncio.timeout(limit):
                 await self._socket.send_multipart(frames)
@@ -243,22 +246,22 @@
             task = asyncio.current_task()
             if task is not None and task.cancelling():
                 raise
-            # The socket was closed below the waiting message.
+            # The socket was closed while the message waited.
             return False
         return True
 
     async def call(self, request: Message, *, timeout: float = 30.0) -> Reply:
-        """Send a request and return its last reply."""
-        last: Reply = Failed(failure=self._lost("no reply"))
+        """Send a request; return its last reply, or Failed after `timeout` seconds."""
+        last: Reply = Failed(failure=self._interrupted("no reply"))
         try:
             async with asyncio.timeout(timeout):
                 async for reply in self.stream(request):
                     last = reply
         except TimeoutError:
-            return Failed(failure=self._lost(f"no reply within {timeout} s"))
+            return Failed(failure=self._interrupted(f"no reply within {timeout} s"))
         return last
 
-    def _lost(self, reason: str, not_run: NotRun = NotRun.UNKNOWN) -> Failure:
+    def _interrupted(self, reason: str, not_run: NotRun = NotRun.UNKNOWN) -> Failure:
         return Failure(
             kind=ErrorKind.INTERRUPTED,
             reason=f"peer {self._address}: {reason}",
@@ -268,52 +271,51 @@
     async def _receive(self) -> None:
         while True:
             frames = await self._socket.recv_multipart()
-            self._heard = asyncio.get_running_loop().time()
-            for place in range(0, len(frames) - 2, FRAMES_A_REPLY):
-                self._deliver(*frames[place : place + FRAMES_A_REPLY])
+            self._last_received = asyncio.get_running_loop().time()
+            for index in range(0, len(frames) - 2, FRAMES_PER_REPLY):
+                self._deliver(*frames[index : index + FRAMES_PER_REPLY])
 
-    def _deliver(self, request_id: bytes, mark: bytes, body: bytes) -> None:
-        replies = self._open.get(request_id)
+    def _deliver(self, request_id: bytes, flag: bytes, body: bytes) -> None:
+        replies = self._pending.get(request_id)
         if replies is None:
             return
         reply = decode_reply(body)
         if reply is None:
-            reply = Failed(failure=self._lost("reply not understood"))
-            mark = LAST
-        replies.put_nowait((mark, reply))
+            reply = Failed(failure=self._interrupted("cannot decode the reply"))
+            flag = LAST_REPLY
+        replies.put_nowait((flag, reply))
 
-    async def _watch_connection(self, monitor: zmq.asyncio.Socket) -> None:
+    async def _monitor_connection(self, monitor: zmq.asyncio.Socket) -> None:
         while True:
             message = await recv_monitor_message(monitor)
-            self._broken = message["event"] == zmq.EVENT_DISCONNECTED
-            if self._broken and self._open:
-                self._fail_open("disconnected")
+            self._disconnected = message["event"] == zmq.EVENT_DISCONNECTED
+            if self._disconnected and self._pending:
+                self._fail_pending("disconnected")
 
-    async def _watch(self) -> None:
+    async def _ping_while_pending(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(PING_INTERVAL)
-            if not self._open:
+            if not self._pending:
                 continue
-            if loop.time() - self._heard > self._silence_limit:
-                self._fail_open("silent")
+            if loop.time() - self._last_received > self._silence_limit:
+                self._fail_pending("silent")
                 continue
             with contextlib.suppress(zmq.Again):
                 frames = [PING_ID, encode(Ping())]
                 await self._socket.send_multipart(frames, flags=zmq.NOBLOCK)
 
-    def _fail_open(self, reason: str) -> None:
-        # A message that still waits in the socket must not reach a peer that
-        # comes back later: its caller has been answered. Closing the socket
-        # with no linger drops it.
+    def _fail_pending(self, reason: str) -> None:
+        # Close the socket without linger to drop unsent messages: they must not
+        # reach a peer that returns later, since their requests have failed.
         log.warning("Peer {} is {}.", self._address, reason)
-        for replies in self._open.values():
-            replies.put_nowait((LAST, Failed(failure=self._lost(reason))))
-        self._open.clear()
-        self._broken = True
+        for replies in self._pending.values():
+            replies.put_nowait((LAST_REPLY, Failed(failure=self._interrupted(reason))))
+        self._pending.clear()
+        self._disconnected = True
         self._disconnect()
         self._socket = self._connect()
-        self._tasks = self._start()
+        self._tasks = self._start_tasks()
 
     def _disconnect(self) -> None:
         for task in self._tasks:
@@ -322,13 +324,13 @@
         self._socket.close(linger=0)
 
     def close(self) -> None:
-        """End the link."""
-        self._watcher.cancel()
+        """Close the connection; pending requests are not answered."""
+        self._ping_task.cancel()
         self._disconnect()
 
 
 class Links:
-    """Keep one link to each peer that is talked to."""
+    """Links to peers by address."""
 
     def __init__(
         self,
@@ -343,7 +345,7 @@
         self._links: dict[str, Link] = {}
 
     def to(self, address: str) -> Link:
-        """Return the link to an address."""
+        """Return the link to an address; create it if necessary."""
         link = self._links.get(address)
         if link is None:
             link = Link(
@@ -356,7 +358,7 @@
         return link
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         for link in self._links.values():
             link.close()
         self._links.clear()
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -1,7 +1,7 @@
 """Define the messages between gateways, homes, sidecars and shard keepers.
 
-Times are in seconds. Deadlines travel as the time that is left, so that no
-two clocks are compared.
+Times are in seconds. A deadline is sent as the time that remains, since clocks
+of different hosts are not comparable.
 """
 
 from __future__ import annotations
@@ -46,22 +46,22 @@
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field="t"):
-    """Be the common type of all messages."""
+    """Base class of all messages."""
 
 
 class CallKind(Enum):
-    """Say what a call asks for."""
+    """Kind of target that a call goes to."""
 
     MODEL = "model"
     SERVICE = "service"
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """Report the load of one target.
+    """Load of one target.
 
-    `queued_tokens` is the work that waits, in tokens; `cache_free` is the
-    prefix memory that no kept program uses, in tokens; `call_seconds` is the
-    time that a call has lately taken, 0 where none is known.
+    `queued_tokens` is the queued work in tokens, `cache_free` the prefix cache
+    that no retained program uses, in tokens, and `call_seconds` the recent
+    duration of a call, 0 if unknown.
     """
 
     target: TargetName
@@ -76,7 +76,7 @@
 
 
 class PendingTurn(msgspec.Struct, frozen=True, kw_only=True):
-    """Copy one answered call until its commit is known."""
+    """An answered call that is not yet known to be committed."""
 
     seq: Seq
     prefix: str
@@ -89,7 +89,12 @@
 
 
 class CallRequest(Message, frozen=True, kw_only=True, tag="call"):
-    """Ask the home of a program to run its next call."""
+    """Ask the home of a program to run its next call.
+
+    `single` marks a call outside any named program, `pending` holds answered
+    calls without a known commit, `previous_silent` says that the previous home
+    did not respond, and `reason` why the gateway chose this home.
+    """
 
     program: ProgramId
     spec: ProgramSpec
@@ -113,7 +118,11 @@
 
 
 class DispatchRequest(Message, frozen=True, kw_only=True, tag="dispatch"):
-    """Ask the sidecar of a target to run one attempt of a call."""
+    """Ask the sidecar of a target to run one attempt of a call.
+
+    `attained` is the execution time of the program so far, in seconds, and
+    `weight` its priority.
+    """
 
     program: ProgramId
     workspace: Workspace
@@ -134,21 +143,21 @@
 
 
 class SubmitRequest(Message, frozen=True, kw_only=True, tag="submit"):
-    """Ask a shard keeper to append a record and to judge it."""
+    """Ask a shard keeper to append a record; the reply has its verdict."""
 
     shard: int
     record: ShardRecord
 
 
 class StateRequest(Message, frozen=True, kw_only=True, tag="state"):
-    """Ask a shard keeper what the log says of programs."""
+    """Ask a shard keeper for the state of programs."""
 
     shard: int
     programs: list[ProgramId]
 
 
 class HistoryRequest(Message, frozen=True, kw_only=True, tag="history"):
-    """Ask a shard keeper for the commits of a program, from a sequence on."""
+    """Ask a shard keeper for the commits of a program after a sequence number."""
 
     shard: int
     program: ProgramId
@@ -156,13 +165,13 @@
 
 
 class HandoverRequest(Message, frozen=True, kw_only=True, tag="handover"):
-    """Ask a home to release a program that moves elsewhere."""
+    """Ask a home to release a program that moves to another home."""
 
     program: ProgramId
 
 
 class CreateRequest(Message, frozen=True, kw_only=True, tag="create"):
-    """Ask a home to create a program, or a sub-agent of its parent."""
+    """Ask a home to create a program, which may be a sub-agent."""
 
     program: ProgramId
     spec: ProgramSpec
@@ -170,7 +179,7 @@
 
 
 class SpawnRequest(Message, frozen=True, kw_only=True, tag="spawn"):
-    """Ask the home of a parent to move budget to a sub-agent."""
+    """Ask the home of a parent program to transfer budget to a sub-agent."""
 
     parent: ProgramId
     spec: ProgramSpec
@@ -180,7 +189,7 @@
 
 
 class RecoverRequest(Message, frozen=True, kw_only=True, tag="recover"):
-    """Ask for a home that commits turns whose own home was lost."""
+    """Ask a home to take over a lost program and commit its pending turns."""
 
     program: ProgramId
     spec: ProgramSpec
@@ -201,21 +210,21 @@
 
 
 class LoadRequest(Message, frozen=True, kw_only=True, tag="load"):
-    """Ask a sidecar for its load."""
+    """Ask a sidecar for the load of its target."""
 
 
 class ConfigRequest(Message, frozen=True, kw_only=True, tag="config"):
-    """Ask a peer for the configuration that it has accepted."""
+    """Ask a peer for the configuration that it uses."""
 
 
 class DrainRequest(Message, frozen=True, kw_only=True, tag="drain"):
-    """Ask a sidecar to take no new work, or to take it again."""
+    """Ask a sidecar to stop accepting work, or to accept it again."""
 
     drain: bool = True
 
 
 class ExplainRequest(Message, frozen=True, kw_only=True, tag="explain"):
-    """Ask a home for the decisions that it made for a program."""
+    """Ask a home for its decisions about a program."""
 
     program: ProgramId
 
@@ -227,7 +236,7 @@
 
 
 class StoreRequest(Message, frozen=True, kw_only=True, tag="store"):
-    """Ask a peer to make a call to the store."""
+    """Ask a peer to relay a call to the store."""
 
     call: StoreCall
 
@@ -235,8 +244,8 @@
 class OpenTurnRequest(Message, frozen=True, kw_only=True, tag="open"):
     """Ask the delegate of a program to open a turn.
 
-    Later requests name the opening and not the turn, whose id its caller may use
-    again.
+    Later requests refer to it by `opening`, since the caller may reuse the id
+    of the turn.
     """
 
     opening: OpeningId
@@ -244,13 +253,13 @@
 
 
 class ConfirmTurnRequest(Message, frozen=True, kw_only=True, tag="confirm"):
-    """Ask whether the tokens of an open turn are granted."""
+    """Ask whether the budget for an open turn has been granted."""
 
     opening: OpeningId
 
 
 class CommitTurnRequest(Message, frozen=True, kw_only=True, tag="commit_turn"):
-    """Ask to write a turn that handed out so many tokens."""
+    """Ask to commit a turn that has used `handed` tokens."""
 
     opening: OpeningId
     terms: TurnTerms
@@ -259,16 +268,16 @@
 
 
 class CloseTurnRequest(Message, frozen=True, kw_only=True, tag="close_turn"):
-    """Tell the end of a turn that is not written, and what it handed out."""
+    """Report the end of an uncommitted turn that has used `handed` tokens."""
 
     opening: OpeningId
     handed: int
 
 
 class CoverTurnRequest(Message, frozen=True, kw_only=True, tag="cover"):
-    """Ask whether an open turn may hand out so many tokens in all.
+    """Ask whether an open turn may use `total` tokens in all.
 
-    `handed` is what it has handed out so far.
+    `handed` is the number of tokens that it has used so far.
     """
 
     opening: OpeningId
@@ -277,7 +286,7 @@
 
 
 class LendRequest(Message, frozen=True, kw_only=True, tag="lend"):
-    """Ask a lender to cover a turn, or to raise the loan that it has."""
+    """Ask a lender for at least `least` tokens for a turn; 0 raises its loan."""
 
     loan: LoanId
     terms: TurnTerms
@@ -285,7 +294,7 @@
 
 
 class SettleRequest(Message, frozen=True, kw_only=True, tag="settle"):
-    """Tell a lender what the turn of a loan handed out."""
+    """Report to a lender how many tokens of a loan were used."""
 
     loan: LoanId
     program: ProgramId
@@ -293,7 +302,10 @@
 
 
 class TakeTokensRequest(Message, frozen=True, kw_only=True, tag="take_tokens"):
-    """Ask the keeper of a share of a workspace's limit for some tokens."""
+    """Ask the owner of a share of a workspace's rate limit for tokens.
+
+    `begins` says that the request begins a program.
+    """
 
     workspace: Workspace
     share: int
@@ -302,14 +314,14 @@
 
 
 class RegistrationSeenRequest(Message, frozen=True, kw_only=True, tag="seen"):
-    """Ask whether a host's registration by a process is seen."""
+    """Ask whether a peer sees the registration of a host by process `writer`."""
 
     host: HostName
     writer: WriterId
 
 
 class TargetReport(Message, frozen=True, kw_only=True, tag="target"):
-    """Tell what a host saw of a target: that it failed, or serves again."""
+    """Report that a target failed, or works again, as seen from a host."""
 
     instance: InstanceId
     host: HostName
@@ -317,7 +329,7 @@
 
 
 class Ping(Message, frozen=True, kw_only=True, tag="ping"):
-    """Ask whether the peer's process still answers."""
+    """Check that the peer is alive."""
 
 
 Request = (
@@ -352,13 +364,13 @@
 
 
 class Chunk(Message, frozen=True, kw_only=True, tag="chunk"):
-    """Carry one piece of an answer that is streamed."""
+    """One part of a streamed answer."""
 
     data: bytes
 
 
 class CallAdmitted(Message, frozen=True, kw_only=True, tag="head"):
-    """Say that the call was admitted and at which place in its program."""
+    """Report that a call was admitted, with its sequence number."""
 
     program: ProgramId
     seq: Seq
@@ -366,9 +378,9 @@
 
 
 class Done(Message, frozen=True, kw_only=True, tag="done"):
-    """End an answer.
+    """Last reply to a call.
 
-    `turn` is the gateway's copy of what is not yet committed.
+    `turn` is the copy that the gateway keeps until the commit is known.
     """
 
     answer: CallAnswer | None = None
@@ -380,13 +392,13 @@
 
 
 class Committed(Message, frozen=True, kw_only=True, tag="committed"):
-    """Tell that a turn is kept in the log."""
+    """Report that a turn is committed to the log."""
 
     seq: Seq
 
 
 class Executed(Message, frozen=True, kw_only=True, tag="executed"):
-    """End a dispatch with what the attempt brought."""
+    """Result of an attempt that was dispatched."""
 
     status: int
     body: bytes
@@ -399,46 +411,46 @@
 
 
 class Failed(Message, frozen=True, kw_only=True, tag="failed"):
-    """Say why there is no answer."""
+    """Report that a request failed."""
 
     failure: Failure
     load: Load | None = None
 
 
 class VerdictReply(Message, frozen=True, kw_only=True, tag="verdict"):
-    """Answer a submit, with the program as it stands after the record."""
+    """Reply to a submit, with the state of the program after the record."""
 
     verdict: Verdict
     state: ProgramState | None = None
 
 
 class StateReply(Message, frozen=True, kw_only=True, tag="states"):
-    """Answer a state request."""
+    """Reply to a state request."""
 
     states: list[ProgramState]
     next_offset: Offset
 
 
 class HistoryReply(Message, frozen=True, kw_only=True, tag="commits"):
-    """Answer a history request with encoded commit records."""
+    """Reply to a history request: encoded commit records."""
 
     commits: list[bytes]
 
 
 class LoadReply(Message, frozen=True, kw_only=True, tag="loads"):
-    """Answer a load request."""
+    """Reply to a load request."""
 
     load: Load
 
 
 class ConfigReply(Message, frozen=True, kw_only=True, tag="configs"):
-    """Answer a config request with an encoded snapshot."""
+    """Reply to a configuration request: an encoded snapshot."""
 
     snapshot: bytes
 
 
 class Decision(msgspec.Struct, frozen=True, kw_only=True):
-    """Record one decision for a program, with its reason."""
+    """One decision about a program, with its reason."""
 
     at: float
     part: str
@@ -447,13 +459,13 @@
 
 
 class ExplainReply(Message, frozen=True, kw_only=True, tag="decisions"):
-    """Answer an explain request."""
+    """Reply to an explain request."""
 
     decisions: list[Decision]
 
 
 class SpanData(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one finished span of a trace; times are nanoseconds since 1970."""
+    """One finished span of a trace; times in nanoseconds since the Unix epoch."""
 
     trace_id: str
     span_id: str
@@ -465,22 +477,22 @@
 
 
 class TraceReply(Message, frozen=True, kw_only=True, tag="spans"):
-    """Answer a trace request."""
+    """Reply to a trace request."""
 
     spans: list[SpanData]
 
 
 class StoreAnswer(Message, frozen=True, kw_only=True, tag="stored"):
-    """Answer with what the store said."""
+    """Reply of the store to a relayed call."""
 
     reply: StoreReply
 
 
 class TurnOpened(Message, frozen=True, kw_only=True, tag="opened"):
-    """Hold what an open turn continues, and what its program had used.
+    """History that an opened turn continues, and tokens its program has used.
 
-    `granted` says that it may begin without asking again, `covered` how many
-    tokens it may hand out then; None for all.
+    `granted` says that the turn may begin without a ConfirmTurnRequest, and
+    `covered` how many tokens it may then use; None for no limit.
     """
 
     history: History | None
@@ -490,39 +502,39 @@
 
 
 class TurnRefused(Message, frozen=True, kw_only=True, tag="turn_refused"):
-    """Say why a turn was not opened: one of the two is set."""
+    """Report why a turn was not opened; exactly one of the fields is set."""
 
     lookup: Lookup | None = None
     verdict: BudgetVerdict | None = None
 
 
 class TurnVerdict(Message, frozen=True, kw_only=True, tag="turn_verdict"):
-    """Say whether the tokens of an open turn are granted, and how many."""
+    """Report whether the budget for an open turn is granted, and how much."""
 
     verdict: BudgetVerdict
     covered: int | None = None
 
 
 class TurnCovered(Message, frozen=True, kw_only=True, tag="covered"):
-    """Say how many tokens an open turn may hand out in all; None for all."""
+    """Report how many tokens an open turn may use in all; None for no limit."""
 
     covered: int | None
 
 
 class Lent(Message, frozen=True, kw_only=True, tag="lent"):
-    """Say how many tokens a loan has now; 0 for none."""
+    """Report the tokens of a loan; 0 if nothing was lent."""
 
     tokens: int
 
 
 class TokensTaken(Message, frozen=True, kw_only=True, tag="tokens"):
-    """Hand out tokens, or say why not."""
+    """Reply to a TakeTokensRequest: tokens, or the wait for them."""
 
     tokens: Tokens
 
 
 class Accepted(Message, frozen=True, kw_only=True, tag="accepted"):
-    """Say that an order was carried out."""
+    """Report that a request was carried out."""
 
     load: Load | None = None
 
@@ -557,12 +569,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message as MessagePack."""
     return _ENCODER.encode(message)
 
 
 def decode_request(data: bytes) -> Request | None:
-    """Return the request, or None where the bytes are none of ours."""
+    """Decode a request; return None for any other bytes."""
     try:
         return _REQUESTS.decode(data)
     except msgspec.DecodeError:
@@ -570,7 +582,7 @@
 
 
 def decode_reply(data: bytes) -> Reply | None:
-    """Return the reply, or None where the bytes are none of ours."""
+    """Decode a reply; return None for any other bytes."""
     try:
         return _REPLIES.decode(data)
     except msgspec.DecodeError:
