--- a/sequoiaarch/engines/__init__.py
+++ b/sequoiaarch/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Meet model engines and plain services behind their targets."""
+"""Clients of the model engines and services behind targets."""
--- a/sequoiaarch/engines/http.py
+++ b/sequoiaarch/engines/http.py
@@ -1,4 +1,4 @@
-"""Meet engines and services over HTTP."""
+"""Access model engines and services over HTTP."""
 
 from __future__ import annotations
 
@@ -35,51 +35,51 @@
 CONNECT_TIMEOUT = 1.0
 CONTROL_TIMEOUT = 5.0
 IDLE_TIMEOUT = 60.0
-RESUMES = 3
-RESUME_WAIT = 0.05
+MAX_RESUMES = 3
+RESUME_DELAY = 0.05
 EVENT_END = b"\n\n"
 DATA_PREFIX = b"data: "
 END_OF_STREAM = b"[DONE]"
 
 
-class _Details(msgspec.Struct):
-    """Read the cached tokens of a usage report."""
+class _PromptDetails(msgspec.Struct):
+    """Number of prompt tokens that were in the prefix cache."""
 
     cached_tokens: int = 0
 
 
 class _Usage(msgspec.Struct):
-    """Read a usage report."""
+    """Token counts of a request, as the engine reports them."""
 
     prompt_tokens: int = 0
     completion_tokens: int = 0
-    prompt_tokens_details: _Details | None = None
+    prompt_tokens_details: _PromptDetails | None = None
 
 
 class _UsageChunk(msgspec.Struct):
-    """Read the usage of an event."""
+    """The usage field of a stream event."""
 
     usage: _Usage | None = None
 
 
-class _Broken(Exception):
-    """Say that a stream ended before its end."""
+class _StreamTruncated(Exception):
+    """Raised when a stream ends without its end marker."""
 
 
 class HttpEngine:
-    """Drive an engine that speaks the usual chat completions."""
+    """Engine with an API for chat completions and for control of its cache."""
 
     def __init__(self, *, url: str, threads: int) -> None:
         self._url = url.rstrip("/")
         self._pool = urllib3.PoolManager(maxsize=threads, block=False, retries=False)
-        self._streams = ThreadPoolExecutor(threads, thread_name_prefix="engine")
-        self._control = ThreadPoolExecutor(4, thread_name_prefix="control")
+        self._stream_threads = ThreadPoolExecutor(threads, thread_name_prefix="engine")
+        self._control_threads = ThreadPoolExecutor(4, thread_name_prefix="control")
         self._mailbox: Mailbox | None = None
 
     async def complete(
         self, request: EngineRequest, emit: Emit
     ) -> EngineAnswer | Failure:
-        """Run one request and emit the payload of each event in order."""
+        """Run a request and emit the payload of each event in order."""
         loop = asyncio.get_running_loop()
         if self._mailbox is None or self._mailbox.loop is not loop:
             self._mailbox = Mailbox(loop=loop)
@@ -88,7 +88,9 @@
         def emit_in_loop(data: bytes) -> None:
             mailbox.post(emit, data)
 
-        run = loop.run_in_executor(self._streams, self._complete, request, emit_in_loop)
+        run = loop.run_in_executor(
+            self._stream_threads, self._complete, request, emit_in_loop
+        )
         try:
             return await asyncio.shield(run)
         except asyncio.CancelledError:
@@ -102,36 +104,38 @@
         deadline = time.monotonic() + request.timeout
         while True:
             try:
-                for payload in self._open(request, sent, resumes > 0, deadline):
+                for payload in self._stream_payloads(
+                    request, sent, resumes > 0, deadline
+                ):
                     if payload == END_OF_STREAM:
-                        return _answer(usage)
+                        return _engine_answer(usage)
                     if b'"usage"' in payload:
                         usage = _read_usage(payload) or usage
                     emit(payload)
                     sent += 1
-                raise _Broken("the stream ended early")
-            except _Refused as refused:
-                return refused.failure
+                raise _StreamTruncated("the stream ended early")
+            except _RequestRefused as refusal:
+                return refusal.failure
             except (NewConnectionError, ConnectTimeoutError) as error:
                 if sent == 0 and resumes == 0:
-                    return _failed(ErrorKind.TARGET_FAILED, error, NotRun.YES)
+                    return _error_failure(ErrorKind.TARGET_FAILED, error, NotRun.YES)
                 reason: Exception = error
             except ReadTimeoutError as error:
                 if time.monotonic() >= deadline:
-                    return _failed(ErrorKind.DEADLINE_EXCEEDED, error, NotRun.NO)
+                    return _error_failure(ErrorKind.DEADLINE_EXCEEDED, error, NotRun.NO)
                 reason = error
-            except (HTTPError, OSError, _Broken) as error:
+            except (HTTPError, OSError, _StreamTruncated) as error:
                 reason = error
             resumes += 1
-            if resumes > RESUMES or time.monotonic() >= deadline:
-                return _failed(ErrorKind.TARGET_FAILED, reason, NotRun.NO)
-            time.sleep(RESUME_WAIT)
+            if resumes > MAX_RESUMES or time.monotonic() >= deadline:
+                return _error_failure(ErrorKind.TARGET_FAILED, reason, NotRun.NO)
+            time.sleep(RESUME_DELAY)
 
-    def _open(
+    def _stream_payloads(
         self, request: EngineRequest, sent: int, resume: bool, deadline: float
     ) -> Iterator[bytes]:
-        left = max(0.01, min(IDLE_TIMEOUT, deadline - time.monotonic()))
-        limits = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=left)
+        read_timeout = max(0.01, min(IDLE_TIMEOUT, deadline - time.monotonic()))
+        timeouts = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=read_timeout)
         headers = {
             "Content-Type": "application/json",
             "X-Cache-Key": request.program,
@@ -141,114 +145,121 @@
         }
         if resume:
             path = f"/v1/streams/{request.attempt}?from={sent}"
-            reply = self._pool.request(
+            response = self._pool.request(
                 "GET",
                 self._url + path,
                 headers=headers,
-                timeout=limits,
+                timeout=timeouts,
                 preload_content=False,
             )
         else:
-            reply = self._pool.request(
+            response = self._pool.request(
                 "POST",
                 self._url + request.path,
                 body=request.body,
                 headers=headers,
-                timeout=limits,
+                timeout=timeouts,
                 preload_content=False,
             )
-        if reply.status != 200:
-            raise _Refused(_refusal(reply.status, reply.read(4096)))
+        if response.status != 200:
+            raise _RequestRefused(
+                _refusal_failure(response.status, response.read(4096))
+            )
         finished = False
         try:
-            for payload in _payloads(reply):
+            for payload in _payloads(response):
                 finished = payload == END_OF_STREAM
                 yield payload
         finally:
             if finished:
-                reply.drain_conn()
-                reply.release_conn()
+                response.drain_conn()
+                response.release_conn()
             else:
-                reply.close()
+                response.close()
 
     async def cancel(self, attempt: AttemptId) -> None:
-        """Stop a stream that nobody waits for."""
-        await self._ask("DELETE", f"/v1/streams/{attempt}")
+        """Cancel a stream whose answer is no longer needed."""
+        await self._control_request("DELETE", f"/v1/streams/{attempt}")
 
     async def listing(self) -> CacheListing | Failure:
-        """Return what the engine holds now."""
-        reply = await self._ask("GET", "/v1/cache")
-        if isinstance(reply, Failure):
-            return reply
-        return msgspec.json.decode(reply, type=CacheListing)
+        """Return the current contents of the prefix cache."""
+        response = await self._control_request("GET", "/v1/cache")
+        if isinstance(response, Failure):
+            return response
+        return msgspec.json.decode(response, type=CacheListing)
 
     async def events(self, start: int) -> list[CacheEvent] | Failure:
-        """Return the cache events from a number on, as far as published."""
-        reply = await self._ask("GET", f"/v1/cache/events?from={start}")
-        if isinstance(reply, Failure):
-            return reply
-        return msgspec.json.decode(reply, type=list[CacheEvent])
+        """Return the cache events published so far, from number `start` on."""
+        response = await self._control_request("GET", f"/v1/cache/events?from={start}")
+        if isinstance(response, Failure):
+            return response
+        return msgspec.json.decode(response, type=list[CacheEvent])
 
     async def free(self, program: ProgramId) -> bool:
-        """Drop the prefix of a program from all memory."""
-        reply = await self._ask("DELETE", f"/v1/cache/{program}")
-        return not isinstance(reply, Failure)
+        """Delete the cached and exported prefix of a program."""
+        response = await self._control_request("DELETE", f"/v1/cache/{program}")
+        return not isinstance(response, Failure)
 
     async def export(self, program: ProgramId) -> bool:
-        """Move a prefix out of engine memory; False where it is not held."""
-        reply = await self._ask("POST", f"/v1/cache/{program}/export")
-        return not isinstance(reply, Failure)
+        """Move a prefix out of engine memory; return False if it is not cached."""
+        response = await self._control_request("POST", f"/v1/cache/{program}/export")
+        return not isinstance(response, Failure)
 
     async def import_(self, program: ProgramId) -> bool:
-        """Move a prefix back; False where it was not exported."""
-        reply = await self._ask("POST", f"/v1/cache/{program}/import")
-        return not isinstance(reply, Failure)
+        """Move a prefix back to engine memory; return False if it is not exported."""
+        response = await self._control_request("POST", f"/v1/cache/{program}/import")
+        return not isinstance(response, Failure)
 
     async def load(self) -> EngineLoad | Failure:
-        """Return the load that the engine last reported."""
-        reply = await self._ask("GET", "/v1/load")
-        if isinstance(reply, Failure):
-            return reply
-        return msgspec.json.decode(reply, type=EngineLoad)
+        """Return the load that the engine reported last."""
+        response = await self._control_request("GET", "/v1/load")
+        if isinstance(response, Failure):
+            return response
+        return msgspec.json.decode(response, type=EngineLoad)
 
     async def order(self, order: EngineOrder, epoch: Epoch) -> Failure | None:
-        """Give an order under a fencing number."""
+        """Send an order with a fencing token; return why it failed, or None."""
         body = msgspec.json.encode(order)
-        reply = await self._ask("POST", "/v1/orders", body, epoch)
-        return reply if isinstance(reply, Failure) else None
+        response = await self._control_request("POST", "/v1/orders", body, epoch)
+        return response if isinstance(response, Failure) else None
 
-    async def _ask(
+    async def _control_request(
         self, method: str, path: str, body: bytes | None = None, epoch: int = 0
     ) -> bytes | Failure:
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(
-            self._control, self._ask_blocking, method, path, body, epoch
+            self._control_threads,
+            self._control_request_blocking,
+            method,
+            path,
+            body,
+            epoch,
         )
 
-    def _ask_blocking(
+    def _control_request_blocking(
         self, method: str, path: str, body: bytes | None, epoch: int
     ) -> bytes | Failure:
-        limits = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=CONTROL_TIMEOUT)
+        timeouts = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=CONTROL_TIMEOUT)
         headers = {"X-Fencing": str(epoch)}
         try:
-            reply = self._pool.request(
-                method, self._url + path, body=body, headers=headers, timeout=limits
+            response = self._pool.request(
+                method, self._url + path, body=body, headers=headers, timeout=timeouts
             )
         except HTTPError as error:
-            return _failed(ErrorKind.TARGET_FAILED, error, NotRun.UNKNOWN)
-        if reply.status != 200:
-            return _refusal(reply.status, reply.data)
-        return reply.data
+            return _error_failure(ErrorKind.TARGET_FAILED, error, NotRun.UNKNOWN)
+        if response.status != 200:
+            return _refusal_failure(response.status, response.data)
+        return response.data
 
     def close(self) -> None:
-        """Let go of threads and connections."""
-        self._streams.shutdown(wait=False, cancel_futures=True)
-        self._control.shutdown(wait=False, cancel_futures=True)
+        """Shut down the threads and close the connections."""
+        self._stream_threads.shutdown(wait=False, cancel_futures=True)
+        self._control_threads.shutdown(wait=False, cancel_futures=True)
         self._pool.clear()
 
 
 class HttpService:
-    """Call a plain service."""
+    """Service that is called over HTTP."""
 
     def __init__(self, *, url: str, threads: int) -> None:
         self._url = url.rstrip("/")
@@ -256,12 +267,12 @@
         self._threads = ThreadPoolExecutor(threads, thread_name_prefix="service")
 
     async def call(self, request: ServiceRequest) -> ServiceAnswer | Failure:
-        """Send a request once, never again."""
+        """Send a request once, without retries."""
         loop = asyncio.get_running_loop()
         return await loop.run_in_executor(self._threads, self._call, request)
 
     def _call(self, request: ServiceRequest) -> ServiceAnswer | Failure:
-        limits = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=request.timeout)
+        timeouts = urllib3.Timeout(connect=CONNECT_TIMEOUT, read=request.timeout)
         headers = {
             "Content-Type": "application/json",
             "X-Fencing": str(request.epoch),
@@ -270,44 +281,44 @@
         if request.key is not None:
             headers["Idempotency-Key"] = request.key
         try:
-            reply = self._pool.request(
+            response = self._pool.request(
                 request.method,
                 self._url + request.path,
                 body=request.body or None,
                 headers=headers,
-                timeout=limits,
+                timeout=timeouts,
                 redirect=False,
             )
         except (NewConnectionError, ConnectTimeoutError) as error:
-            # No connection stood, so no byte of the request left.
-            return _failed(ErrorKind.TARGET_FAILED, error, NotRun.YES)
+            # Nothing was sent, since no connection was established.
+            return _error_failure(ErrorKind.TARGET_FAILED, error, NotRun.YES)
         except ReadTimeoutError as error:
-            return _failed(ErrorKind.DEADLINE_EXCEEDED, error, NotRun.UNKNOWN)
+            return _error_failure(ErrorKind.DEADLINE_EXCEEDED, error, NotRun.UNKNOWN)
         except HTTPError as error:
-            return _failed(ErrorKind.OUTCOME_UNKNOWN, error, NotRun.UNKNOWN)
-        content_type = reply.headers.get("Content-Type", "application/octet-stream")
+            return _error_failure(ErrorKind.OUTCOME_UNKNOWN, error, NotRun.UNKNOWN)
+        content_type = response.headers.get("Content-Type", "application/octet-stream")
         return ServiceAnswer(
-            status=reply.status, body=reply.data, content_type=content_type
+            status=response.status, body=response.data, content_type=content_type
         )
 
     def close(self) -> None:
-        """Let go of threads and connections."""
+        """Shut down the threads and close the connections."""
         self._threads.shutdown(wait=False, cancel_futures=True)
         self._pool.clear()
 
 
-class _Refused(Exception):
-    """Carry the failure that an engine answered with."""
+class _RequestRefused(Exception):
+    """Raised when an engine responds with an error status."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(failure.reason)
         self.failure = failure
 
 
-def _payloads(reply: Any) -> Iterator[bytes]:
+def _payloads(response: Any) -> Iterator[bytes]:
     buffer = b""
-    for piece in reply.stream(None):
-        buffer += piece
+    for chunk in response.stream(None):
+        buffer += chunk
         while EVENT_END in buffer:
             event, buffer = buffer.split(EVENT_END, 1)
             if event.startswith(DATA_PREFIX):
@@ -321,7 +332,7 @@
         return None
 
 
-def _answer(usage: _Usage) -> EngineAnswer:
+def _engine_answer(usage: _Usage) -> EngineAnswer:
     details = usage.prompt_tokens_details
     return EngineAnswer(
         prompt_tokens=usage.prompt_tokens,
@@ -330,7 +341,7 @@
     )
 
 
-def _refusal(status: int, body: bytes) -> Failure:
+def _refusal_failure(status: int, body: bytes) -> Failure:
     text = body.decode("utf-8", "replace")[:200]
     kind = ErrorKind.MALFORMED if status == 400 else ErrorKind.TARGET_FAILED
     return Failure(
@@ -338,6 +349,6 @@
     )
 
 
-def _failed(kind: ErrorKind, error: Exception, not_run: NotRun) -> Failure:
+def _error_failure(kind: ErrorKind, error: Exception, not_run: NotRun) -> Failure:
     reason = f"{type(error).__name__}: {error}"
     return Failure(kind=kind, reason=reason, not_run=not_run)
--- a/sequoiaarch/engines/interfaces.py
+++ b/sequoiaarch/engines/interfaces.py
@@ -1,4 +1,4 @@
-"""Say what engines and services offer to the system."""
+"""Interfaces of model engines and services."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EngineRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask an engine for one answer; `timeout` in seconds."""
+    """Request for one answer of an engine; `timeout` in seconds."""
 
     program: ProgramId
     attempt: AttemptId
@@ -27,7 +27,7 @@
 
 
 class EngineAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Say that a stream ended as it should, with what the engine counted."""
+    """Token counts of a stream that ended normally."""
 
     prompt_tokens: int = 0
     answer_tokens: int = 0
@@ -35,7 +35,7 @@
 
 
 class ServiceRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask a service once; `timeout` in seconds."""
+    """Request to a service; `timeout` in seconds."""
 
     method: str
     path: str
@@ -47,7 +47,7 @@
 
 
 class ServiceAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what a service answered."""
+    """Response of a service."""
 
     status: int
     body: bytes
@@ -55,14 +55,14 @@
 
 
 class CacheListing(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell the tokens that an engine holds for each program."""
+    """Tokens of each program in engine memory, and exported from it."""
 
     cached: dict[ProgramId, int]
     exported: dict[ProgramId, int] = {}
 
 
 class CacheEvent(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell one change of engine memory; a gap in `number` is a lost event."""
+    """One change of engine memory; a gap in the numbers means lost events."""
 
     number: int
     what: str
@@ -70,14 +70,14 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell the load of an engine a while ago."""
+    """Load of an engine, as it reported last."""
 
     running: int
     waiting: int
 
 
 class OrderKind(Enum):
-    """Name the orders that an engine takes."""
+    """Kind of order that an engine accepts."""
 
     LOAD_MODEL = "load_model"
     LOAD_ADAPTER = "load_adapter"
@@ -85,7 +85,7 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """Order an engine to load something or to change its role."""
+    """Order to load a model or an adapter, or to change the engine's role."""
 
     kind: OrderKind
     name: str
@@ -93,46 +93,46 @@
 
 
 class ModelEngine(Protocol):
-    """Drive one model engine."""
+    """Client of one model engine."""
 
     async def complete(
         self, request: EngineRequest, emit: Emit
     ) -> EngineAnswer | Failure:
-        """Run one request and emit the payload of each event in order.
+        """Run a request and emit the payload of each event in order.
 
-        A connection that breaks is resumed where the engine allows it.
+        A stream whose connection breaks is resumed if the engine supports it.
         """
 
     async def cancel(self, attempt: AttemptId) -> None:
-        """Stop a stream that nobody waits for."""
+        """Cancel a stream whose answer is no longer needed."""
 
     async def listing(self) -> CacheListing | Failure:
-        """Return what the engine holds now."""
+        """Return the current contents of the prefix cache."""
 
     async def events(self, start: int) -> list[CacheEvent] | Failure:
-        """Return the cache events from a number on, as far as published."""
+        """Return the cache events published so far, from number `start` on."""
 
     async def free(self, program: ProgramId) -> bool:
-        """Drop the prefix of a program from all memory."""
+        """Delete the cached and exported prefix of a program."""
 
     async def export(self, program: ProgramId) -> bool:
-        """Move a prefix out of engine memory; False where it is not held."""
+        """Move a prefix out of engine memory; return False if it is not cached."""
 
     async def import_(self, program: ProgramId) -> bool:
-        """Move a prefix back; False where it was not exported."""
+        """Move a prefix back to engine memory; return False if it is not exported."""
 
     async def load(self) -> EngineLoad | Failure:
-        """Return the load that the engine last reported."""
+        """Return the load that the engine reported last."""
 
     async def order(self, order: EngineOrder, epoch: Epoch) -> Failure | None:
-        """Give an order under a fencing number."""
+        """Send an order with a fencing token; return why it failed, or None."""
 
 
 class Service(Protocol):
-    """Call one plain service."""
+    """Client of one service."""
 
     async def call(self, request: ServiceRequest) -> ServiceAnswer | Failure:
-        """Send a request once, never again.
+        """Send a request once, without retries.
 
-        The failure says whether the bytes may have left.
+        The failure says whether the service may have run the request.
         """
--- a/sequoiaarch/tests/engines/__init__.py
+++ b/sequoiaarch/tests/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Test package engines."""
+"""Tests of the clients of engines and services."""
--- a/sequoiaarch/tests/engines/contract_tests.py
+++ b/sequoiaarch/tests/engines/contract_tests.py
@@ -1,4 +1,4 @@
-"""Test that engines and services keep their contracts."""
+"""Test the clients of engines and services against stand-ins."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def request(attempt: str, tokens: int = 8, **body: Any) -> EngineRequest:
-    """Return a request to an engine."""
+    """Return a request for an answer of `tokens` tokens."""
     content = {
         "model": "m",
         "messages": [{"role": "user", "content": "hello " * 20}],
@@ -46,82 +46,83 @@
 
 
 class EngineTests(unittest.TestCase):
-    """Drive the stand-in as the product drives an engine."""
+    """Test the engine client against the engine stand-in."""
 
     def start(self, **options: Any) -> tuple[EngineStandIn, HttpEngine]:
-        """Start an engine and return it with its driver."""
+        """Start an engine; return it and a client of it."""
         defaults = {"step": 0.001, "event_lag": 0.0, "load_lag": 0.0}
         engine = EngineStandIn(options=EngineOptions(**{**defaults, **options}))
         engine.start()
         self.addCleanup(engine.stop)
-        driver = HttpEngine(url=engine.url, threads=8)
-        self.addCleanup(driver.close)
-        return engine, driver
+        client = HttpEngine(url=engine.url, threads=8)
+        self.addCleanup(client.close)
+        return engine, client
 
     def complete(
-        self, driver: HttpEngine, one: EngineRequest
+        self, client: HttpEngine, engine_request: EngineRequest
     ) -> tuple[EngineAnswer | Failure, list[bytes]]:
-        """Run one request and return its end and its payloads."""
+        """Run a request; return its result and the emitted payloads."""
         payloads: list[bytes] = []
-        answer = asyncio.run(driver.complete(one, payloads.append))
+        answer = asyncio.run(client.complete(engine_request, payloads.append))
         return answer, payloads
 
     def test_answer_and_usage(self) -> None:
-        """Get all events in order, and the count of tokens."""
-        _, driver = self.start()
-        answer, payloads = self.complete(driver, request("a", tokens=5))
+        """A request emits all events and returns the token counts."""
+        _, client = self.start()
+        answer, payloads = self.complete(client, request("a", tokens=5))
         assert isinstance(answer, EngineAnswer)
         self.assertEqual(answer.answer_tokens, 5)
         self.assertEqual(len(payloads), 6)
 
     def test_prefix_is_cached(self) -> None:
-        """Find the prefix of the same program in memory."""
-        _, driver = self.start()
-        self.complete(driver, request("a"))
-        answer, _ = self.complete(driver, request("b"))
+        """A second request of a program finds its prompt in the cache."""
+        _, client = self.start()
+        self.complete(client, request("a"))
+        answer, _ = self.complete(client, request("b"))
         assert isinstance(answer, EngineAnswer)
         self.assertEqual(answer.cached_tokens, answer.prompt_tokens)
 
     def test_broken_stream_is_resumed(self) -> None:
-        """Get each event once though the connection broke."""
-        engine, driver = self.start()
-        whole = self.complete(driver, request("a", tokens=12))[1]
+        """Each event is emitted once although the connection breaks."""
+        engine, client = self.start()
+        expected = self.complete(client, request("a", tokens=12))[1]
         engine.cut_streams = 2
-        answer, payloads = self.complete(driver, request("b", tokens=12))
+        answer, payloads = self.complete(client, request("b", tokens=12))
         self.assertIsInstance(answer, EngineAnswer)
         self.assertEqual(
-            [texts(one) for one in payloads], [texts(one) for one in whole]
+            [event_choices(payload) for payload in payloads],
+            [event_choices(payload) for payload in expected],
         )
 
-    def test_too_often_broken(self) -> None:
-        """Fail after a bounded number of resumptions."""
-        engine, driver = self.start()
+    def test_resumptions_are_bounded(self) -> None:
+        """A request fails after a bounded number of resumptions."""
+        engine, client = self.start()
         engine.cut_streams = 50
-        answer, _ = self.complete(driver, request("a", tokens=60))
+        answer, _ = self.complete(client, request("a", tokens=60))
         assert isinstance(answer, Failure)
         self.assertIs(answer.kind, ErrorKind.TARGET_FAILED)
 
-    def test_nobody_there_is_not_run(self) -> None:
-        """Say "not run" where no connection stood."""
-        driver = HttpEngine(url=f"http://127.0.0.1:{free_port()}", threads=2)
-        answer, _ = self.complete(driver, request("a"))
+    def test_refused_connection_is_not_run(self) -> None:
+        """A request without a connection is reported as not run."""
+        client = HttpEngine(url=f"http://127.0.0.1:{free_port()}", threads=2)
+        answer, _ = self.complete(client, request("a"))
         assert isinstance(answer, Failure)
         self.assertIs(answer.run_state, NotRun.YES)
 
-    def test_refused_request(self) -> None:
-        """Pass on what the engine says of a bad request."""
-        _, driver = self.start()
-        answer, _ = self.complete(driver, request("a", messages="none"))
+    def test_malformed_request(self) -> None:
+        """A request that the engine rejects as malformed is reported as such."""
+        _, client = self.start()
+        answer, _ = self.complete(client, request("a", messages="none"))
         assert isinstance(answer, Failure)
         self.assertIs(answer.kind, ErrorKind.MALFORMED)
 
-    def test_cancel_frees_the_slot(self) -> None:
-        """Stop a stream that nobody waits for."""
-        engine, driver = self.start(step=0.05, slots=1)
+    def test_cancel_frees_slot(self) -> None:
+        """A cancelled request stops its stream and frees its slot."""
+        engine, client = self.start(step=0.05, slots=1)
 
         async def run() -> None:
             work = asyncio.create_task(
-                driver.complete(request("a", tokens=1000), lambda _: None)
+                client.complete(request("a", tokens=1000), lambda _: None)
             )
             while not engine.requests:
                 await asyncio.sleep(0.005)
@@ -129,79 +130,79 @@
             await asyncio.gather(work, return_exceptions=True)
 
         asyncio.run(run())
-        wait_until(lambda: asyncio.run(driver.load()).running == 0, "the slot")  # type: ignore[union-attr]
+        wait_until(lambda: asyncio.run(client.load()).running == 0, "the slot")  # type: ignore[union-attr]
 
     def test_export_and_import(self) -> None:
-        """Move a prefix out of memory and back."""
-        _, driver = self.start()
-        self.complete(driver, request("a"))
-        self.assertTrue(asyncio.run(driver.export(PROGRAM)))
-        listing = asyncio.run(driver.listing())
+        """A prefix can be moved out of engine memory and back."""
+        _, client = self.start()
+        self.complete(client, request("a"))
+        self.assertTrue(asyncio.run(client.export(PROGRAM)))
+        listing = asyncio.run(client.listing())
         assert not isinstance(listing, Failure)
         self.assertEqual(
             (list(listing.cached), list(listing.exported)), ([], [PROGRAM])
         )
-        self.assertTrue(asyncio.run(driver.import_(PROGRAM)))
-        self.assertFalse(asyncio.run(driver.import_(PROGRAM)))
-        answer, _ = self.complete(driver, request("b"))
+        self.assertTrue(asyncio.run(client.import_(PROGRAM)))
+        self.assertFalse(asyncio.run(client.import_(PROGRAM)))
+        answer, _ = self.complete(client, request("b"))
         assert isinstance(answer, EngineAnswer)
         self.assertGreater(answer.cached_tokens, 0)
 
-    def test_free(self) -> None:
-        """Drop a prefix from all memory."""
-        engine, driver = self.start()
-        self.complete(driver, request("a"))
-        self.assertTrue(asyncio.run(driver.free(PROGRAM)))
+    def test_freed_prefix(self) -> None:
+        """A freed prefix is no longer cached."""
+        engine, client = self.start()
+        self.complete(client, request("a"))
+        self.assertTrue(asyncio.run(client.free(PROGRAM)))
         self.assertEqual(engine.cache_keys, [])
 
-    def test_events_have_gaps(self) -> None:
-        """Show a lost event as a gap in the numbers."""
-        _, driver = self.start(event_gap=2)
+    def test_lost_event_leaves_gap(self) -> None:
+        """A lost cache event leaves a gap in the numbers."""
+        _, client = self.start(event_gap=2)
         for number in range(6):
-            self.complete(driver, request(f"a{number}"))
-        events = asyncio.run(driver.events(0))
+            self.complete(client, request(f"a{number}"))
+        events = asyncio.run(client.events(0))
         assert not isinstance(events, Failure)
         numbers = [event.number for event in events]
         self.assertEqual(numbers, sorted(numbers))
         self.assertLess(len(numbers), numbers[-1] - numbers[0] + 1)
 
     def test_orders_and_fencing(self) -> None:
-        """Refuse an old fencing number, or ignore it, as the engine does."""
+        """A stale fencing token is rejected by an engine that checks it."""
         order = EngineOrder(kind=OrderKind.LOAD_MODEL, name="m", version="2")
         for checks, refused in ((True, True), (False, False)):
             with self.subTest(checks=checks):
-                _, driver = self.start(checks_fencing=checks)
-                self.assertIsNone(asyncio.run(driver.order(order, Epoch(7))))
-                late = asyncio.run(driver.order(order, Epoch(6)))
-                self.assertEqual(isinstance(late, Failure), refused)
+                _, client = self.start(checks_fencing=checks)
+                self.assertIsNone(asyncio.run(client.order(order, Epoch(7))))
+                stale = asyncio.run(client.order(order, Epoch(6)))
+                self.assertEqual(isinstance(stale, Failure), refused)
 
     def test_priority(self) -> None:
-        """Let a lower number go first."""
-        engine, driver = self.start(slots=1, step=0.01)
-        ended: list[str] = []
+        """A waiting request with a lower priority number runs first."""
+        engine, client = self.start(slots=1, step=0.01)
+        finished: list[str] = []
 
-        async def one(name: str, priority: float) -> None:
-            await driver.complete(
+        async def complete(name: str, priority: float) -> None:
+            await client.complete(
                 request(name, tokens=3, priority=priority), lambda _: None
             )
-            ended.append(name)
+            finished.append(name)
 
         async def run() -> None:
-            first = asyncio.create_task(one("first", 0))
+            first = asyncio.create_task(complete("first", 0))
             while not engine.requests:
                 await asyncio.sleep(0.001)
-            rest = [asyncio.create_task(one("low", 5))]
+            rest = [asyncio.create_task(complete("low", 5))]
             while engine.requests < 2:
                 await asyncio.sleep(0.001)
-            rest.append(asyncio.create_task(one("high", 1)))
+            rest.append(asyncio.create_task(complete("high", 1)))
             await asyncio.gather(first, *rest)
 
         asyncio.run(run())
-        self.assertEqual(ended, ["first", "high", "low"])
+        self.assertEqual(finished, ["first", "high", "low"])
 
 
 class ServiceTests(unittest.TestCase):
-    """Call the stand-in as the product calls a service."""
+    """Test the service client against the service stand-in."""
 
     def setUp(self) -> None:
         """Start a service."""
@@ -210,10 +211,10 @@
         self.addCleanup(self.service.stop)
 
     def call(self, url: str, timeout: float = 10.0) -> ServiceAnswer | Failure:
-        """Call once."""
-        driver = HttpService(url=url, threads=2)
-        self.addCleanup(driver.close)
-        one = ServiceRequest(
+        """Call the service once."""
+        client = HttpService(url=url, threads=2)
+        self.addCleanup(client.close)
+        service_request = ServiceRequest(
             method="POST",
             path="/pay",
             body=b"{}",
@@ -221,23 +222,23 @@
             epoch=Epoch(1),
             timeout=timeout,
         )
-        return asyncio.run(driver.call(one))
+        return asyncio.run(client.call(service_request))
 
     def test_answer(self) -> None:
-        """Get the answer, and run once."""
+        """A call returns the response and runs once."""
         answer = self.call(self.service.url)
         assert isinstance(answer, ServiceAnswer)
         self.assertEqual(answer.status, 200)
         self.assertEqual(self.service.executions, {"k": 1})
 
-    def test_nobody_there_is_not_run(self) -> None:
-        """Say "not run" where no connection stood."""
+    def test_refused_connection_is_not_run(self) -> None:
+        """A request without a connection is reported as not run."""
         answer = self.call(f"http://127.0.0.1:{free_port()}")
         assert isinstance(answer, Failure)
         self.assertIs(answer.run_state, NotRun.YES)
 
-    def test_hang_is_unknown_and_not_repeated(self) -> None:
-        """Leave a call that hung alone, since it may have been run."""
+    def test_timeout_is_unknown_and_not_repeated(self) -> None:
+        """A call that times out may have run, so it is not repeated."""
         self.service.hang.set()
         self.addCleanup(self.service.hang.clear)
         answer = self.call(self.service.url, timeout=0.2)
@@ -246,6 +247,6 @@
         self.assertEqual(self.service.executions, {"k": 1})
 
 
-def texts(payload: bytes) -> Any:
-    """Return what an event adds to the answer."""
+def event_choices(payload: bytes) -> Any:
+    """Return the part of the answer in an event."""
     return msgspec.json.decode(payload)["choices"]
