--- a/sequoiaarch/http1/idle.py
+++ b/sequoiaarch/http1/idle.py
@@ -19,7 +19,7 @@
         self._max_idle = max_idle
         self._connections: dict[Key, list[ClientConnection]] = defaultdict(list)
 
-    def take(self, key: Key) -> ClientConnection | None:
+    def acquire(self, key: Key) -> ClientConnection | None:
         """Remove and return a usable connection, or None if there is none."""
         idle = self._connections[key]
         while idle:
@@ -29,7 +29,7 @@
             connection.abort()
         return None
 
-    def give_back(self, key: Key, connection: ClientConnection, limit: float) -> None:
+    def release(self, key: Key, connection: ClientConnection, limit: float) -> None:
         """Keep a reusable connection for up to `limit` seconds; reset any other."""
         if not connection.finish():
             return
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -28,7 +28,7 @@
 
     async def take(self, target: TargetEntry) -> ClientConnection:
         """Return a usable link; raises ExchangeError."""
-        link = self._idle.take(target.incarnation)
+        link = self._idle.acquire(target.incarnation)
         if link is not None:
             return link
         self.opened += 1
@@ -39,7 +39,7 @@
     ) -> None:
         """Keep a link whose exchange was complete, or close it."""
         limit = IDLE_LIMIT if idle_limit is None else idle_limit - IDLE_MARGIN
-        self._idle.give_back(target.incarnation, link, limit)
+        self._idle.release(target.incarnation, link, limit)
 
     def forget(self, instance: InstanceId) -> None:
         """Close the idle links to a target that has left or started again."""
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -38,11 +38,11 @@
             return unavailable(call, str(error))
         finally:
             if connection is not None:
-                self._idle.give_back(None, connection, IDLE_LIMIT)
+                self._idle.release(None, connection, IDLE_LIMIT)
         return reply
 
     async def _get_connection(self) -> ClientConnection:
-        connection = self._idle.take(None)
+        connection = self._idle.acquire(None)
         return connection or await connect(self._address, timeout=CONNECT_TIMEOUT)
 
     async def _exchange(
