--- a/sequoiaarch/http1/idle.py
+++ b/sequoiaarch/http1/idle.py
@@ -40,7 +40,7 @@
         connection.idle_deadline = asyncio.get_running_loop().time() + limit
         idle.append(connection)
 
-    def sweep(self) -> None:
+    def close_expired(self) -> None:
         """Close connections that have expired or are unusable."""
         for key, connections in list(self._connections.items()):
             usable = [connection for connection in connections if _usable(connection)]
@@ -52,7 +52,7 @@
             else:
                 del self._connections[key]
 
-    def forget(self, key: Key) -> None:
+    def discard(self, key: Key) -> None:
         """Close the idle connections of a key."""
         for connection in self._connections.pop(key, []):
             connection.abort()
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -43,7 +43,7 @@
 
     def forget(self, instance: InstanceId) -> None:
         """Close the idle links to a target that has left or started again."""
-        self._idle.forget(instance)
+        self._idle.discard(instance)
 
     def close(self) -> None:
         """Close all idle links."""
@@ -53,4 +53,4 @@
         """Close links that were idle for too long, again and again."""
         while True:
             await asyncio.sleep(SWEEP_SECONDS)
-            self._idle.sweep()
+            self._idle.close_expired()
