--- a/sequoiaarch/http1/client.py
+++ b/sequoiaarch/http1/client.py
@@ -111,7 +111,7 @@
         transport.write(data)
         await self._writable.wait()
 
-    async def head(self) -> ResponseHead:
+    async def read_head(self) -> ResponseHead:
         """Return the status and headers of the response; raise ExchangeError."""
         while True:
             event = await self._next_event()
@@ -124,7 +124,7 @@
                 status=event.status_code, reason=bytes(event.reason), headers=headers
             )
 
-    async def body_part(self) -> bytes | None:
+    async def read_body_part(self) -> bytes | None:
         """Return the next bytes of the body, None at its end; raise ExchangeError."""
         event = await self._next_event()
         if isinstance(event, h11.Data):
@@ -139,7 +139,7 @@
         A target may send a duplicate response late. Passing it on would give a
         caller the answer to another caller's request.
         """
-        while await self.body_part() is not None:
+        while await self.read_body_part() is not None:
             pass
         remaining = bytes(self._http.trailing_data[0])
         self._http = h11.Connection(
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -123,7 +123,7 @@
         instance = running.target.incarnation
         if running.begun and self._route.event_pause:
             load.expects(instance, self, next_event_due(self._route.event_pause))
-        part = await running.link.body_part()
+        part = await running.link.read_body_part()
         running.begun = True
         load.heard(instance, self)
         return part
@@ -178,7 +178,7 @@
         self, target: TargetEntry, link: ClientConnection
     ) -> Running | None:
         while True:
-            head = await link.head()
+            head = await link.read_head()
             answer = self._dispatcher.codec.answer(head)
             if answer.attempt is None or answer.attempt == self._info.attempt:
                 break
@@ -203,7 +203,7 @@
         """Take a target's word that it did not run the request."""
         self._sends -= 1
         self.trail.append(f"{target.instance}:not run {head.status}")
-        while await link.body_part() is not None:
+        while await link.read_body_part() is not None:
             pass
         self._dispatcher.pool.give_back(target, link, answer.idle_limit)
 
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -196,7 +196,7 @@
 
     async def _whole_body(self, running: Running) -> bytes:
         body = bytearray()
-        while (part := await running.link.body_part()) is not None:
+        while (part := await running.link.read_body_part()) is not None:
             body += part
             if len(body) > BODY_LIMIT:
                 raise fail(ErrorKind.TARGET_FAILED, "the answer is too large")
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -58,8 +58,8 @@
                 body=call.body,
             )
         )
-        head = await connection.head()
+        head = await connection.read_head()
         body = bytearray()
-        while (part := await connection.body_part()) is not None:
+        while (part := await connection.read_body_part()) is not None:
             body += part
         return StoreReply(status=head.status, body=bytes(body))
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -34,7 +34,7 @@
 async def read_body(connection: ClientConnection) -> bytes:
     """Read the rest of the current response's body."""
     body = b""
-    while (part := await connection.body_part()) is not None:
+    while (part := await connection.read_body_part()) is not None:
         body += part
     return body
 
@@ -65,7 +65,7 @@
         """Run an exchange that must fail; return its fault."""
         with self.assertRaises(ExchangeError) as caught:
             await connection.send(request(1))
-            await connection.head()
+            await connection.read_head()
             await read_body(connection)
         self.assertTrue(caught.exception.sent)
         return caught.exception.fault
@@ -75,7 +75,7 @@
         connection = await self.serve(whole_answer(b"answer"))
         for number in (1, 2):
             await connection.send(request(number, b"body"))
-            self.assertEqual((await connection.head()).status, 200)
+            self.assertEqual((await connection.read_head()).status, 200)
             self.assertEqual(await read_body(connection), b"answer")
             self.assertTrue(connection.finish())
 
@@ -83,7 +83,7 @@
         """A response that is shorter than its length is an error."""
         connection = await self.serve(whole_answer(b"answer")[:-2], reset=False)
         await connection.send(request(1))
-        await connection.head()
+        await connection.read_head()
         self.target.exchanges[0].close()
         with self.assertRaises(ExchangeError) as caught:
             await read_body(connection)
@@ -102,7 +102,7 @@
         """A response without a length ends when its connection closes."""
         connection = await self.serve(b"HTTP/1.1 200 OK\r\n\r\nbody")
         await connection.send(request(1))
-        await connection.head()
+        await connection.read_head()
         self.target.exchanges[0].close()
         self.assertEqual(await read_body(connection), b"body")
         self.assertFalse(connection.finish())
@@ -116,7 +116,7 @@
         """A connection that receives an unrequested response is not reused."""
         connection = await self.serve(whole_answer(b"answer"), whole_answer(b"again"))
         await connection.send(request(1))
-        await connection.head()
+        await connection.read_head()
         await read_body(connection)
         await asyncio.sleep(0.1)
         self.assertFalse(connection.finish() and connection.usable)
@@ -141,14 +141,14 @@
         connection = await self.serve()
         self.target.behaviour = behave
         await connection.send(request(1))
-        await connection.head()
+        await connection.read_head()
         self.assertEqual(await read_body(connection), b"answer 1")
         self.assertTrue(connection.finish())
         await connection.send(request(2, b"body"))
-        head = await connection.head()
+        head = await connection.read_head()
         self.assertEqual(head.header(b"attempt"), b"1")
         await connection.skip_response()
-        head = await connection.head()
+        head = await connection.read_head()
         self.assertEqual(head.header(b"attempt"), b"2")
         self.assertEqual(await read_body(connection), b"answer 2")
 
@@ -167,7 +167,7 @@
         parts = [stream_head(), chunk(b"one"), chunk(b"two"), chunk(b"")]
         connection = await self.serve(*parts)
         await connection.send(request(1))
-        await connection.head()
+        await connection.read_head()
         self.assertEqual(await read_body(connection), b"onetwo")
 
 
--- a/sequoiaarch/tests/platform/site.py
+++ b/sequoiaarch/tests/platform/site.py
@@ -295,12 +295,12 @@
     answer = Answer(status=0, whole=False)
     try:
         await link.send(message)
-        head = await link.head()
+        head = await link.read_head()
         answer.status = head.status
         answer.headers = {
             name.decode().lower(): value.decode() for name, value in head.headers
         }
-        while (part := await link.body_part()) is not None:
+        while (part := await link.read_body_part()) is not None:
             answer.body += part
         answer.whole = True
     except ExchangeError:
--- a/sequoiaarch/tests/platform/soak/callers.py
+++ b/sequoiaarch/tests/platform/soak/callers.py
@@ -256,12 +256,12 @@
         async with asyncio.timeout(PATIENCE):
             await link.send(message)
             answer.sent = True
-            head = await link.head()
+            head = await link.read_head()
             answer.status = head.status
             answer.headers = {
                 name.decode().lower(): value.decode() for name, value in head.headers
             }
-            while (part := await link.body_part()) is not None:
+            while (part := await link.read_body_part()) is not None:
                 answer.body += part
             answer.whole = True
     except (ExchangeError, TimeoutError):
