--- a/sequoiaarch/http1/events.py
+++ b/sequoiaarch/http1/events.py
@@ -42,8 +42,8 @@
 
 def _event_end(data: bytes) -> int:
     ends = [
-        place + len(mark)
-        for mark in (b"\n\n", b"\r\n\r\n")
-        if (place := data.find(mark)) >= 0
+        position + len(separator)
+        for separator in (b"\n\n", b"\r\n\r\n")
+        if (position := data.find(separator)) >= 0
     ]
     return min(ends) if ends else -1
--- a/sequoiaarch/storage/hedged.py
+++ b/sequoiaarch/storage/hedged.py
@@ -11,8 +11,8 @@
 
 log = logbook.Logger("store")
 
-# A call is repeated after this multiple of the usual latency. The bounds prevent
-# a repeat for a single delayed packet, and long waits at a slow store. Seconds.
+# A call is repeated after this multiple of the usual latency. The bounds, in
+# seconds, prevent repeats for one delayed packet and long waits at a slow store.
 HEDGE_FACTOR = 4.0
 MIN_HEDGE_DELAY = 0.06
 MAX_HEDGE_DELAY = 0.5
@@ -26,9 +26,9 @@
 class HedgedClient:
     """Store client that sends hedged requests.
 
-    It repeats a call on another connection while no reply has arrived, with
-    exponential backoff and at most `MAX_CALLS` times in all. Repeats are safe:
-    appends carry a sequence number, and all other calls only read.
+    While no reply has arrived it repeats a call on another connection, with
+    exponential backoff, up to `MAX_CALLS` calls in all. Repeats are safe: appends
+    carry a sequence number, and all other calls only read.
     """
 
     def __init__(self, *, client: StoreClient) -> None:
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -286,7 +286,7 @@
 
 
 class LendRequest(Message, frozen=True, kw_only=True, tag="lend"):
-    """Ask a lender for at least `least` tokens for a turn; 0 raises its loan."""
+    """Ask a lender for a loan of at least `least` tokens, or to increase it."""
 
     loan: LoanId
     terms: TurnTerms
