--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -19,11 +19,11 @@
 from ..wire.links import Send
 from ..wire.messages import (
     LendRequest,
+    RegistrationSeenRequest,
     Reply,
     Request,
-    SeenRequest,
     SettleRequest,
-    TakeTokens,
+    TakeTokensRequest,
     TargetReport,
 )
 from ..workspaces.credits import Purse
@@ -173,9 +173,9 @@
             return self._lenders.answer(request)
         if isinstance(request, TargetReport):
             return self.reports.take(request)
-        if isinstance(request, TakeTokens):
+        if isinstance(request, TakeTokensRequest):
             return self.quotas.answer(request)
-        if isinstance(request, SeenRequest):
+        if isinstance(request, RegistrationSeenRequest):
             return self._joining.answer(request)
         return await self._server.answer(request, send)
 
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -11,15 +11,15 @@
 from ..ids import Epoch, Seq
 from ..records.types import Commit
 from ..wire.messages import (
+    CallAdmitted,
     CallKind,
     CallRequest,
     Chunk,
     Committed,
     Done,
     Failed,
-    Head,
+    PendingTurn,
     Reply,
-    Turn,
 )
 from .calls import ActiveCall
 from .dispatcher import Dispatcher
@@ -184,7 +184,7 @@
             await _wait_settled(call, wait)
         turn = None
         if not call.kept and commit.answer is not None:
-            turn = Turn(
+            turn = PendingTurn(
                 seq=commit.seq,
                 prefix=commit.prefix,
                 digest=commit.digest,
@@ -203,7 +203,7 @@
     ) -> Reply:
         events = call.follow()
         seq = call.seq or Seq(0)
-        await send(Head(program=request.program, seq=seq, epoch=epoch))
+        await send(CallAdmitted(program=request.program, seq=seq, epoch=epoch))
         while True:
             event = await events.get()
             if isinstance(event, Chunk):
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 
 from ..errors import ErrorKind, FailureError, fail
-from ..http1.client import ClientLink
-from ..http1.messages import LinkError, LinkFault, RequestMessage, ResponseHead
+from ..http1.client import ClientConnection
+from ..http1.messages import ExchangeError, ExchangeFault, RequestMessage, ResponseHead
 from ..ids import InstanceId
 from ..policies.health import next_event_due
 from ..routing.routes import Route
@@ -29,7 +29,7 @@
     """Response of a target; `body_started` is set once a part was received."""
 
     target: TargetEntry
-    link: ClientLink
+    link: ClientConnection
     head: ResponseHead
     info: ResponseInfo
     body_started: bool = False
@@ -99,7 +99,7 @@
         else:
             response.link.abort()
 
-    def may_repeat(self, error: LinkError) -> bool:
+    def may_repeat(self, error: ExchangeError) -> bool:
         """Take from the retry budget after a break; return whether to retry."""
         self.steps.append(f"broken:{error.fault.name}")
         sends_left = self._send_count < self._route.max_attempts
@@ -123,7 +123,7 @@
         instance = response.target.incarnation
         if response.body_started and self._route.event_pause:
             load.expect_within(instance, self, next_event_due(self._route.event_pause))
-        part = await response.link.body_part()
+        part = await response.link.read_body_part()
         response.body_started = True
         load.data_received(instance, self)
         return part
@@ -146,7 +146,7 @@
         load = self._dispatcher.load
         load.request_started(target.incarnation)
         response: TargetResponse | None = None
-        link: ClientLink | None = None
+        link: ClientConnection | None = None
         token: float | None = None
         try:
             link = await self._dispatcher.pool.acquire(target)
@@ -158,7 +158,7 @@
             response = await self._await_head(target, link)
             if response is None:
                 self._credit.restore(token)
-        except LinkError as error:
+        except ExchangeError as error:
             load.record_result(target.incarnation, ok=False)
             self._abort(link)
             if not error.sent:
@@ -174,15 +174,15 @@
                 load.request_ended(target.incarnation)
         return response
 
-    def _abort(self, link: ClientLink | None) -> None:
+    def _abort(self, link: ClientConnection | None) -> None:
         if link is not None:
             link.abort()
 
     async def _await_head(
-        self, target: TargetEntry, link: ClientLink
+        self, target: TargetEntry, link: ClientConnection
     ) -> TargetResponse | None:
         while True:
-            head = await link.head()
+            head = await link.read_head()
             info = self._dispatcher.codec.read_response(head)
             if info.attempt is None or info.attempt == self._info.attempt:
                 break
@@ -193,8 +193,8 @@
             return None
         if info.coded:
             # No content encoding was requested.
-            raise LinkError(
-                LinkFault.GARBLED,
+            raise ExchangeError(
+                ExchangeFault.GARBLED,
                 "the response has an unexpected content encoding",
                 sent=True,
             )
@@ -204,14 +204,14 @@
     async def _skip_response(
         self,
         target: TargetEntry,
-        link: ClientLink,
+        link: ClientConnection,
         head: ResponseHead,
         info: ResponseInfo,
     ) -> None:
         """Read the rest of a response that reports the request as not run."""
         self._send_count -= 1
         self.steps.append(f"{target.instance}:not run {head.status}")
-        while await link.body_part() is not None:
+        while await link.read_body_part() is not None:
             pass
         self._dispatcher.pool.release(target, link, info.idle_limit)
 
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -17,7 +17,7 @@
 from ..fleet.turn_server import failed
 from ..http1.messages import RequestMessage
 from ..http1.server import Server
-from ..http1.server_link import Reply, ServerLimits
+from ..http1.server_connection import ResponseWriter, ServerLimits
 from ..ids import InstanceId, WriterId
 from ..ledger.ledger import Ledger
 from ..ledger.places import Places
@@ -33,7 +33,7 @@
 from ..routing.routes import ClientLimits, RouteTable
 from ..routing.targets import Targets
 from ..storage.keyed import KeyedLog
-from ..storage.relayed import Way
+from ..storage.relayed import StoreAccess
 from ..wire.links import Send
 from ..wire.messages import Reply as PeerReply, Request
 from ..workspaces.access import Access
@@ -84,7 +84,7 @@
         reload: Callable[[], IngressOptions] | None = None,
         events: EventLog | None = None,
         metrics: RequestMetrics | None = None,
-        store_way: Callable[[], Way] = lambda: Way.DIRECT,
+        store_way: Callable[[], StoreAccess] = lambda: StoreAccess.DIRECT,
     ) -> None:
         self._reload = reload
         self._options = options
@@ -238,14 +238,16 @@
 
     async def stop(self) -> None:
         """Drain: refuse new connections, finish open requests, and close."""
-        log.info("stopping with {} open connections", len(self.front.links))
+        log.info("stopping with {} open connections", len(self.front.connections))
         self.front.stopping = True
         if self._fleet is not None:
             self._fleet.refuse_new()
         await asyncio.sleep(UNREADY_NOTICE)
         self.front.stop_accepting()
         remaining = self._options.stop_timeout - UNREADY_NOTICE - STOP_RESERVE
-        drained = await self.front.drained(remaining, also=self._peer_turns_open)
+        drained = await self.front.wait_drained(
+            remaining, other_work=self._peer_turns_open
+        )
         await self._flush_records()
         log.info("stopped, all requests answered: {}", drained)
         await self.close()
@@ -274,12 +276,14 @@
         self.dispatcher.pool.close()
         await self.ledger.close()
 
-    async def _handle_ready(self, message: RequestMessage, reply: Reply) -> None:
+    async def _handle_ready(
+        self, message: RequestMessage, reply: ResponseWriter
+    ) -> None:
         if message.target.split(b"?")[0] == METRICS_PATH:
             headers = [(b"Content-Type", b"text/plain")]
-            await reply.whole(200, headers, self.metrics_text())
+            await reply.send_response(200, headers, self.metrics_text())
             return
-        await reply.whole(200 if self.ready else 503, [], b"")
+        await reply.send_response(200 if self.ready else 503, [], b"")
 
     def metrics_text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -307,7 +311,7 @@
             "config_version": float(routes.version if routes else 0),
             "targets": float(len(self.targets)),
             "turns": float(self.ledger.turns),
-            "connections": float(len(self.front.links)),
+            "connections": float(len(self.front.connections)),
             "target_connections_opened": float(self.dispatcher.pool.opened),
         }
         if self._fleet is not None:
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -14,7 +14,7 @@
 from ..policies.urgency import ProgramStanding, Urgency, WorthUrgency
 from ..routing.routes import Route, RouteTable
 from ..routing.targets import TargetEntry, Targets
-from ..storage.relayed import Way
+from ..storage.relayed import StoreAccess
 from ..workspaces.access import Access
 from .calls import CallCodec, RequestInfo
 from .load import LoadTracker
@@ -44,7 +44,7 @@
         self.retries: RetryPolicy = RetryBudget()
         self.routes: RouteTable | None = None
         self.targets_read_at: Callable[[], float] = lambda: 0.0
-        self.store_way: Callable[[], Way] = lambda: Way.DIRECT
+        self.store_way: Callable[[], StoreAccess] = lambda: StoreAccess.DIRECT
         self._data_centre = data_centre
         self._targets = targets
         self._engine_placement = engine_placement
@@ -116,7 +116,7 @@
 
     def store_reachable(self) -> bool:
         """Return whether the store is reachable, directly or through a peer."""
-        return self.store_way() is not Way.NONE
+        return self.store_way() is not StoreAccess.NONE
 
     def targets_age(self) -> float:
         """Return the age of the target list, in seconds."""
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -6,8 +6,8 @@
 
 from ..errors import ErrorKind, FailureError, fail
 from ..http1.events import EventSplitter, event_data
-from ..http1.messages import LinkError, LinkFault, RequestMessage, ResponseHead
-from ..http1.server_link import Reply
+from ..http1.messages import ExchangeError, ExchangeFault, RequestMessage, ResponseHead
+from ..http1.server_connection import ResponseWriter
 from ..ids import TurnId
 from ..ledger.ledger import Ledger
 from ..ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
@@ -46,7 +46,7 @@
         info: RequestInfo,
         caller: Caller,
         route: Route,
-        reply: Reply,
+        reply: ResponseWriter,
         deadline: float,
         dispatcher: Dispatcher,
         ledger: Ledger,
@@ -158,14 +158,14 @@
             try:
                 async with asyncio.timeout(self._retry_timeout()):
                     response, body = await self._whole_response()
-            except LinkError as error:
+            except ExchangeError as error:
                 self._check_retry(error)
                 continue
             except TimeoutError:
-                self._check_retry(LinkError(LinkFault.TIMEOUT, sent=True))
+                self._check_retry(ExchangeError(ExchangeFault.TIMEOUT, sent=True))
                 continue
             head = response.head
-            await self._reply.whole(
+            await self._reply.send_response(
                 head.status, response.info.headers, body, head.reason
             )
             return
@@ -186,7 +186,7 @@
         try:
             body = await self._read_body(response)
             complete = True
-        except LinkError:
+        except ExchangeError:
             self._attempts.response_broken(response)
             raise
         finally:
@@ -195,13 +195,13 @@
 
     async def _read_body(self, response: TargetResponse) -> bytes:
         body = bytearray()
-        while (part := await response.link.body_part()) is not None:
+        while (part := await response.link.read_body_part()) is not None:
             body += part
             if len(body) > MAX_RESPONSE_BYTES:
                 raise fail(ErrorKind.TARGET_FAILED, "the response is too large")
         return bytes(body)
 
-    def _check_retry(self, error: LinkError) -> None:
+    def _check_retry(self, error: ExchangeError) -> None:
         """Raise FailureError unless a request with a broken response may be retried."""
         if not self._attempts.may_repeat(error):
             raise fail(ErrorKind.INTERRUPTED, str(error)) from error
@@ -216,10 +216,10 @@
                 complete = True
                 head = response.head
                 headers = response.info.headers
-                await self._reply.whole(head.status, headers, body, head.reason)
+                await self._reply.send_response(head.status, headers, body, head.reason)
                 return
             complete = await self._relay(response, output)
-        except LinkError as error:
+        except ExchangeError as error:
             self._attempts.response_broken(response)
             self.steps.append(f"broken:{error.fault.name}")
             if not self._reply.started:
@@ -267,7 +267,7 @@
             output.produced.append(event_data(event) + b"\n")
         if not self._reply.started:
             await self._start_reply(response)
-        await self._reply.part(event)
+        await self._reply.send_part(event)
 
     async def _confirm_budget(self, output: _TurnOutput) -> None:
         """Wait until tokens are durably reserved, before the first event is sent."""
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -10,7 +10,7 @@
 
 from ..errors import ErrorKind, Failure, FailureError, fail
 from ..http1.messages import RequestMessage
-from ..http1.server_link import ClientGone, Reply
+from ..http1.server_connection import ClientGone, ResponseWriter
 from ..ids import AttemptId
 from ..ledger.ledger import Ledger
 from ..ledger.turns import Turns
@@ -66,7 +66,7 @@
         self._metrics = metrics
         self._events = events
 
-    async def handle(self, message: RequestMessage, reply: Reply) -> None:
+    async def handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
         """Handle one request, and log it however it ends."""
         request = _RequestState(started=asyncio.get_running_loop().time())
         try:
@@ -90,7 +90,7 @@
             raise fail(ErrorKind.MALFORMED, str(error)) from None
 
     async def _serve(
-        self, message: RequestMessage, request: _RequestState, reply: Reply
+        self, message: RequestMessage, request: _RequestState, reply: ResponseWriter
     ) -> None:
         info = request.info = self._read(message)
         routes = request.routes = self._dispatcher.routes
@@ -126,7 +126,7 @@
             raise fail(ErrorKind.DEADLINE_EXCEEDED, reason) from None
 
     async def _send_failure(
-        self, request: _RequestState, reply: Reply, failure: Failure
+        self, request: _RequestState, reply: ResponseWriter, failure: Failure
     ) -> None:
         request.outcome = failure.kind.value
         request.reason = failure.reason
@@ -144,11 +144,11 @@
         attempt = request.info.attempt if request.info else AttemptId("")
         headers = self._dispatcher.codec.failure_headers(attempt, failure.wait)
         try:
-            await reply.whole(failure.answer.status, headers, body)
+            await reply.send_response(failure.answer.status, headers, body)
         except ClientGone:
             request.outcome = CALLER_LEFT
 
-    def _log_request(self, request: _RequestState, reply: Reply) -> None:
+    def _log_request(self, request: _RequestState, reply: ResponseWriter) -> None:
         """Count the request and write its log line."""
         now = asyncio.get_running_loop().time()
         route = request.route.name if request.route else UNROUTED
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from ..http1.client import ClientLink, connect
-from ..http1.idle import IdleLinks
+from ..http1.client import ClientConnection, connect
+from ..http1.idle import IdleConnections
 from ..ids import InstanceId
 from ..routing.targets import TargetEntry
 
@@ -24,27 +24,27 @@
     """Reuse idle connections by target instance."""
 
     def __init__(self) -> None:
-        self._idle: IdleLinks[InstanceId] = IdleLinks()
+        self._idle: IdleConnections[InstanceId] = IdleConnections()
         self.opened = 0
 
-    async def acquire(self, target: TargetEntry) -> ClientLink:
-        """Return an idle or new connection; raises LinkError."""
-        link = self._idle.take(target.incarnation)
+    async def acquire(self, target: TargetEntry) -> ClientConnection:
+        """Return an idle or new connection; raises ExchangeError."""
+        link = self._idle.acquire(target.incarnation)
         if link is not None:
             return link
         self.opened += 1
         return await connect(target.address, timeout=CONNECT_TIMEOUT)
 
     def release(
-        self, target: TargetEntry, link: ClientLink, idle_limit: float | None
+        self, target: TargetEntry, link: ClientConnection, idle_limit: float | None
     ) -> None:
         """Return a connection to the pool after a complete exchange, or close it."""
         limit = DEFAULT_IDLE_LIMIT if idle_limit is None else idle_limit - IDLE_MARGIN
-        self._idle.give_back(target.incarnation, link, limit)
+        self._idle.release(target.incarnation, link, limit)
 
     def forget(self, instance: InstanceId) -> None:
         """Close the idle connections to a target that has left or restarted."""
-        self._idle.forget(instance)
+        self._idle.discard(instance)
 
     def close(self) -> None:
         """Close all idle connections."""
@@ -54,4 +54,4 @@
         """Close connections past their idle limit, periodically."""
         while True:
             await asyncio.sleep(SWEEP_INTERVAL)
-            self._idle.sweep()
+            self._idle.close_expired()
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -14,9 +14,9 @@
 from ..ingress.daemon import IngressDaemon
 from ..ingress.sources import Sources
 from ..observe.events import EventLog, events_written_to
-from ..storage.direct import DirectCaller
-from ..storage.hedged import HedgedCaller
-from ..storage.relayed import RelayedCaller, Way
+from ..storage.direct import DirectClient
+from ..storage.hedged import HedgedClient
+from ..storage.relayed import RelayedClient, StoreAccess
 from .documents import (
     CONFIG_KEY,
     CONFIG_TOPIC,
@@ -42,7 +42,7 @@
 async def _run_gateway(path: Path, events: EventLog) -> None:
     options = read_settings(path)
     context = zmq.asyncio.Context()
-    direct = HedgedCaller(caller=DirectCaller(address=options.store.address))
+    direct = HedgedClient(client=DirectClient(address=options.store.address))
     peers = Peers(
         context=context,
         own=options.host,
@@ -51,14 +51,14 @@
         seeds=options.seeds,
         rng=random.Random(),
     )
-    caller = RelayedCaller(
-        direct=direct, relay=peers.relay, silence=lambda: direct.silence
+    caller = RelayedClient(
+        direct=direct, relay=peers.relay, relay_delay=lambda: direct.relay_delay
     )
     server = PeerServer(
         context=context,
         address=options.inner,
         caller=direct,
-        reaches_store=lambda: caller.way is Way.DIRECT,
+        reaches_store=lambda: caller.access is StoreAccess.DIRECT,
     )
     daemon = IngressDaemon(
         options=options,
@@ -68,7 +68,7 @@
         peers=peers,
         reload=lambda: read_settings(path),
         events=events,
-        store_way=lambda: caller.way,
+        store_way=lambda: caller.access,
     )
     server.others = daemon.answer_peer
     server_task = asyncio.create_task(server.run())
--- a/sequoiaarch/platform/store.py
+++ b/sequoiaarch/platform/store.py
@@ -10,13 +10,13 @@
 
 from ..errors import ErrorKind, Failure
 from ..ids import Offset
-from ..storage.calls import StoreCall, StoreCaller, StoreReply, unavailable
+from ..storage.calls import StoreCall, StoreClient, StoreReply, unavailable
 from ..storage.keyed import (
     KeyedPage,
     KeyedRecord,
     ListedRecord,
     LogGap,
-    Newest,
+    NewestRecords,
     Partition,
     Writer,
 )
@@ -54,7 +54,7 @@
 class PlatformLog:
     """Keyed log in the platform's store."""
 
-    def __init__(self, *, caller: StoreCaller) -> None:
+    def __init__(self, *, caller: StoreClient) -> None:
         self._caller = caller
 
     async def append(
@@ -120,7 +120,7 @@
         except ValueError as error:
             return _invalid_body(call, error)
 
-    async def newest(self, partition: Partition) -> Newest | Failure:
+    async def newest(self, partition: Partition) -> NewestRecords | Failure:
         """Read the newest record of each key."""
         records: list[ListedRecord] = []
         resume: int | None = None
@@ -138,7 +138,7 @@
             if isinstance(reply, Failure):
                 return reply
             if reply.status == 404:
-                return Newest(records=[], resume=Offset(0))
+                return NewestRecords(records=[], resume=Offset(0))
             if reply.status != 200:
                 return _unexpected_status(call, reply)
             try:
@@ -151,7 +151,7 @@
                 record for record in map(_decode_item, page.items) if record is not None
             ]
             if not page.has_more or not page.items:
-                return Newest(records=records, resume=Offset(resume))
+                return NewestRecords(records=records, resume=Offset(resume))
             after = page.items[-1].key
 
 
--- a/sequoiaarch/storage/direct.py
+++ b/sequoiaarch/storage/direct.py
@@ -5,48 +5,52 @@
 import asyncio
 
 from ..errors import Failure
-from ..http1.client import ClientLink, connect
-from ..http1.idle import IdleLinks
-from ..http1.messages import LinkError, RequestMessage
+from ..http1.client import ClientConnection, connect
+from ..http1.idle import IdleConnections
+from ..http1.messages import ExchangeError, RequestMessage
 from .calls import StoreCall, StoreReply, unavailable
 
-# Seconds. A store that is away does not refuse, it stays silent.
+# Seconds. An unavailable store drops connections instead of refusing them.
 CONNECT_TIMEOUT = 0.5
 IDLE_LIMIT = 10.0
-LINKS_KEPT = 16
+MAX_IDLE_CONNECTIONS = 16
 
 
-class DirectCaller:
-    """Make calls on connections of this process."""
+class DirectClient:
+    """Store client that calls the store over this process's own connections."""
 
     def __init__(self, *, address: tuple[str, int]) -> None:
         self._address = address
-        self._idle: IdleLinks[None] = IdleLinks(most=LINKS_KEPT)
+        self._idle: IdleConnections[None] = IdleConnections(
+            max_idle=MAX_IDLE_CONNECTIONS
+        )
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Make a call and return its answer, or why there is none."""
-        link: ClientLink | None = None
+        """Make a call; return its reply, or why there is none."""
+        connection: ClientConnection | None = None
         try:
             async with asyncio.timeout(call.timeout):
-                link = await self._take()
-                reply = await self._exchange(link, call)
+                connection = await self._get_connection()
+                reply = await self._exchange(connection, call)
         except TimeoutError:
             return unavailable(call, f"no answer in {call.timeout:.1f} s")
-        except LinkError as error:
+        except ExchangeError as error:
             return unavailable(call, str(error))
         finally:
-            if link is not None:
-                self._idle.give_back(None, link, IDLE_LIMIT)
+            if connection is not None:
+                self._idle.release(None, connection, IDLE_LIMIT)
         return reply
 
-    async def _take(self) -> ClientLink:
-        link = self._idle.take(None)
-        return link or await connect(self._address, timeout=CONNECT_TIMEOUT)
+    async def _get_connection(self) -> ClientConnection:
+        connection = self._idle.acquire(None)
+        return connection or await connect(self._address, timeout=CONNECT_TIMEOUT)
 
-    async def _exchange(self, link: ClientLink, call: StoreCall) -> StoreReply:
+    async def _exchange(
+        self, connection: ClientConnection, call: StoreCall
+    ) -> StoreReply:
         host, port = self._address
         headers = [(b"Host", f"{host}:{port}".encode())]
-        await link.send(
+        await connection.send(
             RequestMessage(
                 method=call.method.encode(),
                 target=call.path.encode(),
@@ -54,8 +58,8 @@
                 body=call.body,
             )
         )
-        head = await link.head()
+        head = await connection.read_head()
         body = bytearray()
-        while (part := await link.body_part()) is not None:
+        while (part := await connection.read_body_part()) is not None:
             body += part
         return StoreReply(status=head.status, body=bytes(body))
--- a/sequoiaarch/tests/platform/site.py
+++ b/sequoiaarch/tests/platform/site.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from ...fleet.peers import Peers
-from ...http1.client import ClientLink, connect
-from ...http1.messages import LinkError, RequestMessage
+from ...http1.client import ClientConnection, connect
+from ...http1.messages import ExchangeError, RequestMessage
 from ...ids import DataCentre, HostName
 from ...ingress.daemon import IngressDaemon
 from ...ingress.options import IngressOptions, StoreOptions
@@ -291,18 +291,18 @@
         )
 
 
-async def _exchange(link: ClientLink, message: RequestMessage) -> Answer:
+async def _exchange(link: ClientConnection, message: RequestMessage) -> Answer:
     answer = Answer(status=0, whole=False)
     try:
         await link.send(message)
-        head = await link.head()
+        head = await link.read_head()
         answer.status = head.status
         answer.headers = {
             name.decode().lower(): value.decode() for name, value in head.headers
         }
-        while (part := await link.body_part()) is not None:
+        while (part := await link.read_body_part()) is not None:
             answer.body += part
         answer.whole = True
-    except LinkError:
+    except ExchangeError:
         answer.whole = False
     return answer
--- a/sequoiaarch/tests/platform/soak/callers.py
+++ b/sequoiaarch/tests/platform/soak/callers.py
@@ -6,8 +6,8 @@
 import random
 from dataclasses import dataclass, field
 
-from ....http1.client import ClientLink, connect
-from ....http1.messages import LinkError, RequestMessage
+from ....http1.client import ClientConnection, connect
+from ....http1.messages import ExchangeError, RequestMessage
 from ..site import EVENT_TOKENS, HOST, events_of
 from .gateways import Gateway
 from .proxy import LOOPBACK
@@ -219,7 +219,7 @@
         address = (LOOPBACK, gateway.callers.port)
         try:
             link = await connect(address, timeout=CONNECT_SECONDS)
-        except LinkError:
+        except ExchangeError:
             return Answer(attempt=attempt)
         try:
             return await exchange(link, path, attempt, body, headers, self._tally)
@@ -228,7 +228,7 @@
 
 
 async def exchange(
-    link: ClientLink,
+    link: ClientConnection,
     path: str,
     attempt: str,
     body: bytes,
@@ -256,15 +256,15 @@
         async with asyncio.timeout(PATIENCE):
             await link.send(message)
             answer.sent = True
-            head = await link.head()
+            head = await link.read_head()
             answer.status = head.status
             answer.headers = {
                 name.decode().lower(): value.decode() for name, value in head.headers
             }
-            while (part := await link.body_part()) is not None:
+            while (part := await link.read_body_part()) is not None:
                 answer.body += part
             answer.whole = True
-    except (LinkError, TimeoutError):
+    except (ExchangeError, TimeoutError):
         tally.counts["cut"] += 1
     tally.answered(attempt, answer.status)
     return answer
@@ -289,7 +289,7 @@
             address = (LOOPBACK, self._gateway.callers.port)
             try:
                 link = await connect(address, timeout=CONNECT_SECONDS)
-            except LinkError:
+            except ExchangeError:
                 await asyncio.sleep(TRY_PAUSE)
                 continue
             try:
@@ -297,7 +297,7 @@
             finally:
                 link.abort()
 
-    async def _use(self, link: ClientLink, until: float) -> None:
+    async def _use(self, link: ClientConnection, until: float) -> None:
         while asyncio.get_running_loop().time() < until:
             attempt = f"{self._rng.getrandbits(64):016x}"
             self._tally.repeatable.add(attempt)
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -7,13 +7,13 @@
 from ...errors import Failure
 from ...ids import Offset
 from ...platform.store import PlatformLog
-from ...storage.direct import DirectCaller
+from ...storage.direct import DirectClient
 from ...storage.keyed import (
     KeyedPage,
     KeyedRecord,
     ListedRecord,
     LogGap,
-    Newest,
+    NewestRecords,
     Partition,
     Writer,
 )
@@ -30,7 +30,7 @@
         self.http = HttpStore(page=2)
         await self.http.server.start("127.0.0.1", 0)
         address = ("127.0.0.1", self.http.server.port)
-        self.log = PlatformLog(caller=DirectCaller(address=address))
+        self.log = PlatformLog(caller=DirectClient(address=address))
 
     async def asyncTearDown(self) -> None:
         """Stop the stand-in."""
@@ -81,7 +81,7 @@
         records = [KeyedRecord(key=f"k{one}", value=b"v") for one in range(5)]
         await self.append(0, *records)
         newest = await self.log.newest(PART)
-        assert isinstance(newest, Newest)
+        assert isinstance(newest, NewestRecords)
         listed = [
             ListedRecord(key=one.key, value=one.value, offset=Offset(place))
             for place, one in enumerate(records)
