--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -20,7 +20,7 @@
 from ..http1.server_link import Reply, ServerLimits
 from ..ids import InstanceId, WriterId
 from ..ledger.ledger import Ledger
-from ..ledger.places import Places
+from ..ledger.partition_map import PartitionMap
 from ..ledger.split import BudgetSplit, PartLent, WholeInLog
 from ..ledger.sweeper import Sweeper
 from ..ledger.turns import LocalTurns, Turns
@@ -92,17 +92,17 @@
         writer = WriterId(secrets.token_hex(WRITER_BYTES))
         # Without peers nobody could borrow, and the lent part would lie idle.
         split: BudgetSplit = WholeInLog() if peers is None else PartLent()
-        places = Places(per_topic=options.store.partitions)
+        partition_map = PartitionMap(per_topic=options.store.partitions)
         self.ledger = Ledger(
             log=keyed_log,
             writer=writer,
-            places=places,
+            partition_map=partition_map,
             turn_bytes=int(options.memory_bytes * TURNS_SHARE),
             split=split,
         )
         sweeper = Sweeper(
             log=keyed_log,
-            places=places,
+            partition_map=partition_map,
             processes=lambda: 1 + (len(peers) if peers is not None else 0),
             rng=rng,
         )
--- a/sequoiaarch/ledger/index.py
+++ b/sequoiaarch/ledger/index.py
@@ -8,7 +8,7 @@
 from ..ids import Offset, ProgramId, TurnId
 from ..storage.keyed import KeyedLog, KeyedRecord, Partition
 from .appender import Appender
-from .places import Places
+from .partition_map import PartitionMap
 from .records import IndexRecord, decode_record, encode_record
 
 
@@ -19,9 +19,11 @@
     to exist, by reading the whole store.
     """
 
-    def __init__(self, *, log: KeyedLog, places: Places, writer: str) -> None:
+    def __init__(
+        self, *, log: KeyedLog, partition_map: PartitionMap, writer: str
+    ) -> None:
         self._log = log
-        self._places = places
+        self._partition_map = partition_map
         self._writer = writer
         self._appenders: dict[Partition, Appender] = {}
 
@@ -29,7 +31,7 @@
         self, turn: TurnId, program: ProgramId, retention: float
     ) -> asyncio.Future[Offset]:
         """Write the program of a turn; the future is done once it is durable."""
-        place = self._places.of_turn(turn)
+        place = self._partition_map.of_turn(turn)
         appender = self._appenders.get(place)
         if appender is None:
             appender = self._appenders[place] = Appender(
@@ -41,7 +43,7 @@
 
     async def find(self, turn: TurnId) -> ProgramId | None | Failure:
         """Return the program of a turn, None if there is no such turn."""
-        newest = await self._log.newest(self._places.of_turn(turn))
+        newest = await self._log.newest(self._partition_map.of_turn(turn))
         if isinstance(newest, Failure):
             return newest
         for listed in newest.records:
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -14,7 +14,7 @@
 from .holds import Hold
 from .index import TurnIndex
 from .partition import LedgerPartition
-from .places import Places
+from .partition_map import PartitionMap
 from .records import TurnRecord, encode_record
 from .reservation import Reservation
 from .split import BudgetSplit
@@ -48,16 +48,16 @@
         *,
         log: KeyedLog,
         writer: str,
-        places: Places,
+        partition_map: PartitionMap,
         turn_bytes: int = DEFAULT_TURN_BYTES,
         split: BudgetSplit | None = None,
     ) -> None:
         self.writer = WriterId(writer)
-        self.places = places
+        self.partition_map = partition_map
         self._log = log
         self._turn_bytes = turn_bytes
         self._budgets = Budgets(writer=self.writer, split=split)
-        self._index = TurnIndex(log=log, places=places, writer=writer)
+        self._index = TurnIndex(log=log, partition_map=partition_map, writer=writer)
         # The partition used last stands at the end.
         self._partitions: OrderedDict[Partition, LedgerPartition] = OrderedDict()
         self._used_at: dict[Partition, float] = {}
@@ -158,7 +158,7 @@
 
     def partition(self, program: ProgramId) -> LedgerPartition:
         """Return the partition of a program."""
-        place = self.places.of_program(program)
+        place = self.partition_map.of_program(program)
         found = self._partitions.get(place)
         if found is None:
             found = self._partitions[place] = LedgerPartition(
--- a/sequoiaarch/ledger/places.py
+++ b/sequoiaarch/ledger/partition_map.py
@@ -16,7 +16,7 @@
 INDEX_TOPIC = "keyed.index"
 
 
-class Places:
+class PartitionMap:
     """Say where records stand; `per_topic` partitions make a topic."""
 
     def __init__(self, *, per_topic: int) -> None:
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -14,7 +14,7 @@
 from ..errors import Failure
 from ..ids import Offset
 from ..storage.keyed import KeyedLog, KeyedRecord, ListedRecord, Newest, Partition
-from .places import Places
+from .partition_map import PartitionMap
 from .records import IndexRecord, decode_record
 
 log = logbook.Logger("sweeper")
@@ -56,13 +56,13 @@
         self,
         *,
         log: KeyedLog,
-        places: Places,
+        partition_map: PartitionMap,
         processes: Callable[[], int],
         rng: random.Random,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._log = log
-        self._places = places
+        self._partition_map = partition_map
         self._processes = processes
         self._rng = rng
         self._clock = clock
@@ -80,7 +80,7 @@
 
     def draw(self) -> list[Partition]:
         """Return the partitions to visit in the next two rounds."""
-        everything = self._places.all
+        everything = self._partition_map.all
         count = max(1, len(everything) // max(1, self._processes()))
         self._seen.clear()
         return self._rng.sample(everything, count)
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -29,7 +29,7 @@
 )
 from ...ledger import budgets as budgets_module
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
 from ...ledger.turns import LocalTurn, LocalTurns, OpenTurn
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
@@ -123,7 +123,9 @@
             seeds=[],
             rng=random.Random(1),
         )
-        self.ledger = Ledger(log=client, writer=name, places=Places(per_topic=2))
+        self.ledger = Ledger(
+            log=client, writer=name, partition_map=PartitionMap(per_topic=2)
+        )
         local = LocalTurns(ledger=self.ledger)
         self.turn_server = TurnServer(local=local, ledger=self.ledger)
         self.server.others = self.turn_server.answer
@@ -186,7 +188,9 @@
 
     async def granted(self, *processes: Process) -> int:
         """Return what the log grants processes, as one that starts now reads it."""
-        fresh = Ledger(log=self.store.client(), writer="x", places=Places(per_topic=2))
+        fresh = Ledger(
+            log=self.store.client(), writer="x", partition_map=PartitionMap(per_topic=2)
+        )
         partition = fresh.partition(PROGRAM)
         self.assertTrue(await partition.sync())
         return sum(
@@ -324,7 +328,9 @@
 
         self.answer_with(lost)
         await turn.commit(b"in", b"out")
-        fresh = Ledger(log=self.store.client(), writer="x", places=Places(per_topic=2))
+        fresh = Ledger(
+            log=self.store.client(), writer="x", partition_map=PartitionMap(per_topic=2)
+        )
         found = await fresh.history(PROGRAM, TurnId("t1"))
         assert not isinstance(found, Lookup)
         self.assertEqual(found.prompt, b"inout")
--- a/sequoiaarch/tests/fleet/late_ends_tests.py
+++ b/sequoiaarch/tests/fleet/late_ends_tests.py
@@ -8,7 +8,7 @@
 from ...fleet.turn_server import TurnServer
 from ...ids import OpeningId
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.turns import LocalTurn, LocalTurns
 from ...standins.keyed_store import KeyedStore
 from ...wire.links import Send
@@ -45,7 +45,7 @@
         """
         store = KeyedStore()
         client = store.client()
-        ledger = Ledger(log=client, writer="w", places=Places(per_topic=2))
+        ledger = Ledger(log=client, writer="w", partition_map=PartitionMap(per_topic=2))
         lender = SlowLender()
         server = TurnServer(
             local=LocalTurns(ledger=ledger, lender=lender), ledger=ledger
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -30,7 +30,7 @@
 from ...ledger.holds import NoLender
 from ...ledger.ledger import Ledger
 from ...ledger.loans import FORGET_AFTER, LoanBook
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
 from ...ledger.split import PartLent
 from ...ledger.terms import BudgetVerdict, TurnStart, TurnTerms
@@ -102,7 +102,7 @@
         self.ledger = Ledger(
             log=self.client,
             writer=self.writer,
-            places=Places(per_topic=2),
+            partition_map=PartitionMap(per_topic=2),
             split=PartLent(),
         )
         self.book = LoanBook(split=PartLent(), carried=self.claims.carried)
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -13,7 +13,7 @@
 from ...ids import Offset, ProgramId, TurnId, WriterId
 from ...ledger import budgets as budgets_module, ledger as ledger_module
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.records import GrantRecord, encode_record, grant_key
 from ...ledger.reservation import Reservation
 from ...ledger.terms import BudgetVerdict, History, Lookup, TurnContent, TurnTerms
@@ -58,7 +58,9 @@
     async def ledger(self, name: str, *, per_topic: int = 2) -> Ledger:
         """Return the ledger of a process that has just started."""
         client = self.store.client()
-        ledger = Ledger(log=client, writer=name, places=Places(per_topic=per_topic))
+        ledger = Ledger(
+            log=client, writer=name, partition_map=PartitionMap(per_topic=per_topic)
+        )
         self.clients = {**getattr(self, "clients", {}), name: client}
         self._ledgers.append(ledger)
         return ledger
@@ -209,7 +211,7 @@
         content = TurnContent(parent=None, base=found.prompt, given=b"+", produced=b"!")
         await second.commit(reservation, content)
         await second.announce(reservation.terms)
-        await self.store.add(second.places.of_program(PROGRAM), "t1", b"")
+        await self.store.add(second.partition_map.of_program(PROGRAM), "t1", b"")
         third = await self.ledger("c")
         last = await third.history(other, TurnId("u1"))
         self.assertEqual(prompt(last), b"inout+!")
@@ -408,7 +410,7 @@
         await second.flush()
         running = [await first.reserve(of(name)) for name in ("t1", "t2")]
         await first.flush()
-        place = second.places.of_program(PROGRAM)
+        place = second.partition_map.of_program(PROGRAM)
         before = len(await self.store_records(place))
         for number in range(5):
             self.assertIs(await second.reserve(of(f"u{number}")), BudgetVerdict.HELD)
@@ -426,7 +428,7 @@
         not hold. The stream waits, and asks again.
         """
         ledger = await self.ledger("a")
-        place = ledger.places.of_program(PROGRAM)
+        place = ledger.partition_map.of_program(PROGRAM)
         running = await ledger.reserve(
             msgspec.structs.replace(terms("t1"), budget=MOST + 20)
         )
@@ -455,7 +457,7 @@
         """
         ledger = await self.ledger("a")
         client = self.clients["a"]
-        place = ledger.places.of_program(PROGRAM)
+        place = ledger.partition_map.of_program(PROGRAM)
         small = msgspec.structs.replace(terms("t1"), budget=int(1.6 * MOST))
 
         async def put_other(tokens: int, wanted: int) -> None:
--- a/sequoiaarch/tests/ledger/losses_tests.py
+++ b/sequoiaarch/tests/ledger/losses_tests.py
@@ -11,7 +11,7 @@
 from ...ids import ProgramId, TurnId
 from ...ledger import budgets as budgets_module, ledger as ledger_module
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
 from ...ledger.split import BudgetSplit, PartLent, WholeInLog
 from ...ledger.terms import BudgetVerdict, TurnContent, TurnTerms
@@ -33,7 +33,10 @@
     def __init__(self, *, name: str, store: KeyedStore, split: BudgetSplit) -> None:
         self.client: KeyedStoreClient = store.client()
         self.ledger = Ledger(
-            log=self.client, writer=name, places=Places(per_topic=1), split=split
+            log=self.client,
+            writer=name,
+            partition_map=PartitionMap(per_topic=1),
+            split=split,
         )
         self.lost = False
 
--- a/sequoiaarch/tests/ledger/random_tests.py
+++ b/sequoiaarch/tests/ledger/random_tests.py
@@ -8,7 +8,7 @@
 
 from ...ids import ProgramId, TurnId
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.terms import BudgetVerdict, History, Lookup, TurnStart, TurnTerms
 from ...ledger.turns import LocalTurn, LocalTurns
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
@@ -28,7 +28,9 @@
 
     def __init__(self, *, name: str, store: KeyedStore) -> None:
         self.client: KeyedStoreClient = store.client()
-        self.ledger = Ledger(log=self.client, writer=name, places=Places(per_topic=1))
+        self.ledger = Ledger(
+            log=self.client, writer=name, partition_map=PartitionMap(per_topic=1)
+        )
         self.turns = LocalTurns(ledger=self.ledger)
 
 
--- a/sequoiaarch/tests/ledger/sessions_tests.py
+++ b/sequoiaarch/tests/ledger/sessions_tests.py
@@ -7,7 +7,7 @@
 
 from ...ids import ProgramId, SessionId, TurnId
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
 from ...ledger.terms import BudgetVerdict, TurnTerms
 from ...standins.keyed_store import KeyedStore
@@ -49,7 +49,9 @@
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
         self.ledger = Ledger(
-            log=KeyedStore().client(), writer="one", places=Places(per_topic=1)
+            log=KeyedStore().client(),
+            writer="one",
+            partition_map=PartitionMap(per_topic=1),
         )
         self.budget = self.rng.randint(MOST, 6 * MOST)
         self.count = 0
--- a/sequoiaarch/tests/ledger/sweeper_tests.py
+++ b/sequoiaarch/tests/ledger/sweeper_tests.py
@@ -6,7 +6,7 @@
 import unittest
 
 from ...ids import ProgramId, TurnId, WriterId
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.records import (
     GrantRecord,
     IndexRecord,
@@ -57,8 +57,8 @@
         """Make the store and a sweeper whose clock the test moves."""
         self.store = KeyedStore()
         self.client = self.store.client()
-        self.places = Places(per_topic=2)
-        self.partition = self.places.of_program(PROGRAM)
+        self.partition_map = PartitionMap(per_topic=2)
+        self.partition = self.partition_map.of_program(PROGRAM)
         self.now = 0.0
         self.sweeper = self.make_sweeper(self.client)
 
@@ -66,7 +66,7 @@
         """Return a sweeper of a process."""
         return Sweeper(
             log=client,
-            places=self.places,
+            partition_map=self.partition_map,
             processes=lambda: 4,
             rng=random.Random(1),
             clock=lambda: self.now,
@@ -120,7 +120,7 @@
 
     async def test_index(self) -> None:
         """Drop each entry of the index by itself."""
-        place = self.places.of_turn(TurnId("t1"))
+        place = self.partition_map.of_turn(TurnId("t1"))
         entry = encode_record(IndexRecord(program=PROGRAM, retention=RETENTION))
         await self.store.add(place, "t1", entry)
         await self.sweeper.visit(place)
@@ -142,5 +142,5 @@
     def test_part_of_each_process(self) -> None:
         """Visit a share that makes the whole together with the other processes."""
         part = self.sweeper.draw()
-        self.assertEqual(len(part), len(self.places.all) // 4)
+        self.assertEqual(len(part), len(self.partition_map.all) // 4)
         self.assertEqual(len(set(part)), len(part))
--- a/sequoiaarch/tests/ledger/turns_tests.py
+++ b/sequoiaarch/tests/ledger/turns_tests.py
@@ -9,7 +9,7 @@
 from ...ids import ProgramId, TurnId
 from ...ledger import turns as turns_module
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
 from ...ledger.terms import BudgetVerdict, TurnStart, TurnTerms
 from ...ledger.turns import LocalTurn, LocalTurns
@@ -60,7 +60,9 @@
         """Return the ledger and the turns of a process."""
         client = self.store.client()
         client.faults.delay = delay
-        ledger = Ledger(log=client, writer=name, places=Places(per_topic=1))
+        ledger = Ledger(
+            log=client, writer=name, partition_map=PartitionMap(per_topic=1)
+        )
         self.addAsyncCleanup(ledger.close)
         return ledger, LocalTurns(ledger=ledger)
 
