--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -9,7 +9,7 @@
 
 from ..ids import HostName, OpeningId, ProgramId, TurnId
 from ..ledger.ledger import Ledger
-from ..ledger.terms import BudgetVerdict, Lookup, TurnStart
+from ..ledger.terms import BudgetVerdict, LookupFailure, TurnStart
 from ..ledger.turns import (
     LocalTurn,
     LocalTurns,
@@ -196,7 +196,7 @@
 def _sure_refusal(reply: TurnRefused) -> TurnRefusal | None:
     """Return why a delegate refused a turn; None where it can't tell."""
     # What it can't tell, this process may reach the store for.
-    if reply.lookup is Lookup.ABSENT:
+    if reply.lookup is LookupFailure.ABSENT:
         return reply.lookup
     unsure = reply.verdict in (None, BudgetVerdict.UNCERTAIN)
     return None if unsure else reply.verdict
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -10,7 +10,7 @@
 from ..errors import ErrorKind, Failure
 from ..ids import OpeningId
 from ..ledger.ledger import Ledger
-from ..ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
+from ..ledger.terms import BudgetVerdict, LookupFailure, TurnStart, TurnTerms
 from ..ledger.turns import LocalTurn, LocalTurns
 from ..wire.links import Send
 from ..wire.messages import (
@@ -91,7 +91,7 @@
         if opening in self._ended_unopened:
             return failed(CALLER_LEFT)
         opened = await self._local.open(start)
-        if isinstance(opened, Lookup):
+        if isinstance(opened, LookupFailure):
             return TurnRefused(lookup=opened)
         if isinstance(opened, BudgetVerdict):
             return TurnRefused(verdict=opened)
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -10,7 +10,7 @@
 from ..http1.server_link import Reply
 from ..ids import TurnId
 from ..ledger.ledger import Ledger
-from ..ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
+from ..ledger.terms import BudgetVerdict, LookupFailure, TurnStart, TurnTerms
 from ..ledger.turns import OpenTurn, TurnRefusal, Turns
 from ..observe.request_metrics import RequestMetrics
 from ..policies.retries import patience
@@ -136,7 +136,7 @@
             lifetime=left + TURN_MARGIN,
         )
         opened = await self._turns.open(start)
-        if isinstance(opened, Lookup | BudgetVerdict):
+        if isinstance(opened, LookupFailure | BudgetVerdict):
             raise _turn_failure(opened, info.previous)
         return opened
 
@@ -334,9 +334,9 @@
 def _turn_failure(refusal: TurnRefusal, previous: TurnId | None) -> FailureError:
     if refusal is BudgetVerdict.EXCEEDED:
         return fail(ErrorKind.BUDGET_EXHAUSTED, "the budget of the program is spent")
-    if refusal is Lookup.ABSENT:
+    if refusal is LookupFailure.ABSENT:
         return fail(ErrorKind.NOT_FOUND, f"no turn {previous}")
-    if isinstance(refusal, Lookup):
+    if isinstance(refusal, LookupFailure):
         return fail(ErrorKind.LOG_UNAVAILABLE, refusal.value, retry_after=STORE_RETRY)
     retry_after = HELD_RETRY if refusal is BudgetVerdict.HELD else STORE_RETRY
     reason = f"the budget is {refusal.value}"
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -19,7 +19,7 @@
 from .reservation import Reservation
 from .split import BudgetSplit
 from .state import LedgerState
-from .terms import BudgetVerdict, History, Lookup, TurnContent, TurnTerms
+from .terms import BudgetVerdict, History, LookupFailure, TurnContent, TurnTerms
 
 log = logbook.Logger("ledger")
 
@@ -76,7 +76,9 @@
             return True
         return partition.state.knows_program(program)
 
-    async def history(self, program: ProgramId, turn: TurnId) -> History | Lookup:
+    async def history(
+        self, program: ProgramId, turn: TurnId
+    ) -> History | LookupFailure:
         """Return the prompt up to a turn.
 
         A turn that was answered through another process a moment ago stands
@@ -86,13 +88,13 @@
         found = await self._history_in(program, turn)
         if isinstance(found, bytes):
             return History(prompt=found, own=True)
-        if found is Lookup.UNCERTAIN:
+        if found is LookupFailure.UNCERTAIN:
             return found
         other = await self._index.find(turn)
         if isinstance(other, Failure):
-            return Lookup.UNCERTAIN
+            return LookupFailure.UNCERTAIN
         if other is None or other == program:
-            return Lookup.ABSENT
+            return LookupFailure.ABSENT
         found = await self._history_in(other, turn)
         return History(prompt=found, own=False) if isinstance(found, bytes) else found
 
@@ -190,7 +192,9 @@
                 held -= partition.state.turn_bytes
                 partition.drop_turns()
 
-    async def _history_in(self, program: ProgramId, turn: TurnId) -> bytes | Lookup:
+    async def _history_in(
+        self, program: ProgramId, turn: TurnId
+    ) -> bytes | LookupFailure:
         partition = self.partition(program)
         found = partition.state.history(turn)
         if found is not None:
@@ -201,5 +205,5 @@
             return found
         # A turn whose chain has a gap is not absent.
         if complete and not partition.state.knows(turn):
-            return Lookup.ABSENT
-        return Lookup.UNCERTAIN
+            return LookupFailure.ABSENT
+        return LookupFailure.UNCERTAIN
--- a/sequoiaarch/ledger/terms.py
+++ b/sequoiaarch/ledger/terms.py
@@ -18,7 +18,7 @@
     UNCERTAIN = "not known, as the log can't be read"
 
 
-class Lookup(Enum):
+class LookupFailure(Enum):
     """Say why there is no history."""
 
     ABSENT = "no such turn"
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -9,9 +9,16 @@
 from .holds import Hold, Lender, NoLender
 from .ledger import Ledger
 from .reservation import Reservation
-from .terms import BudgetVerdict, History, Lookup, TurnContent, TurnStart, TurnTerms
+from .terms import (
+    BudgetVerdict,
+    History,
+    LookupFailure,
+    TurnContent,
+    TurnStart,
+    TurnTerms,
+)
 
-TurnRefusal = Lookup | BudgetVerdict
+TurnRefusal = LookupFailure | BudgetVerdict
 
 # A grant that takes longer than this is not waited for where a lender can cover
 # the turn: callers leave after two seconds without an event, and a store that
@@ -241,7 +248,7 @@
         history: History | None = None
         if start.kept and start.previous is not None:
             found = await self._ledger.history(start.terms.program, start.previous)
-            if isinstance(found, Lookup):
+            if isinstance(found, LookupFailure):
                 return found
             history = found
         return await self.take(start, history)
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -30,7 +30,7 @@
 from ...ledger import budgets as budgets_module
 from ...ledger.ledger import Ledger
 from ...ledger.partition_map import PartitionMap
-from ...ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
+from ...ledger.terms import BudgetVerdict, LookupFailure, TurnStart, TurnTerms
 from ...ledger.turns import LocalTurn, LocalTurns, OpenTurn
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 from ...storage.calls import StoreCall, StoreReply
@@ -289,7 +289,7 @@
     async def test_unknown_turn(self) -> None:
         """Pass on that there is no such turn."""
         found = await self.other.turns.open(start("t2", previous="nothing"))
-        self.assertIs(found, Lookup.ABSENT)
+        self.assertIs(found, LookupFailure.ABSENT)
 
     async def test_delegate_is_dead(self) -> None:
         """Serve a turn although the delegate of its account says nothing.
@@ -332,7 +332,7 @@
             log=self.store.client(), writer="x", partition_map=PartitionMap(per_topic=2)
         )
         found = await fresh.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
+        assert not isinstance(found, LookupFailure)
         self.assertEqual(found.prompt, b"inout")
 
     async def test_delegate_restarts_within_a_turn(self) -> None:
@@ -344,7 +344,7 @@
         self.answer_with(restarted.answer)
         await turn.commit(b"in", b"out")
         found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
+        assert not isinstance(found, LookupFailure)
         self.assertEqual(found.prompt, b"inout")
 
     async def test_delegate_raises_what_a_turn_holds(self) -> None:
@@ -383,7 +383,7 @@
         turn.announce()
         await turn.commit(b"in", b"out")
         found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
+        assert not isinstance(found, LookupFailure)
         self.assertEqual(found.prompt, b"inout")
 
     async def test_turn_is_kept_while_more_is_asked_for(self) -> None:
@@ -512,7 +512,7 @@
         self.answer_with(frozen)
         for number in range(20):
             found = await self.other.turns.open(start(f"u{number}", kept=False))
-            if isinstance(found, Lookup | BudgetVerdict):
+            if isinstance(found, LookupFailure | BudgetVerdict):
                 break
             if await found.verdict() is BudgetVerdict.FITS:
                 found.hand_out(MOST)
@@ -595,7 +595,7 @@
         for number in range(8):
             process = (self.delegate, self.other)[number % 2]
             found = await process.turns.open(start(f"t{number + 1}", kept=False))
-            if isinstance(found, Lookup | BudgetVerdict):
+            if isinstance(found, LookupFailure | BudgetVerdict):
                 break
             ran += 1
             found.hand_out(10)
@@ -658,7 +658,7 @@
         """
         self.late(OpenTurnRequest)
         budget = int(1.6 * MOST)
-        found: OpenTurn | Lookup | BudgetVerdict = BudgetVerdict.HELD
+        found: OpenTurn | LookupFailure | BudgetVerdict = BudgetVerdict.HELD
         for number in range(TRIES):
             begun = start(f"t{number}", budget=budget, lifetime=PATIENCE)
             found = await self.other.turns.open(begun)
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -16,7 +16,13 @@
 from ...ledger.partition_map import PartitionMap
 from ...ledger.records import GrantRecord, encode_record, grant_key
 from ...ledger.reservation import Reservation
-from ...ledger.terms import BudgetVerdict, History, Lookup, TurnContent, TurnTerms
+from ...ledger.terms import (
+    BudgetVerdict,
+    History,
+    LookupFailure,
+    TurnContent,
+    TurnTerms,
+)
 from ...standins.keyed_store import KeyedStore
 from ...storage.keyed import KeyedRecord, LogGap, Partition, Writer
 
@@ -37,7 +43,7 @@
     )
 
 
-def prompt(found: History | Lookup) -> bytes | Lookup:
+def prompt(found: History | LookupFailure) -> bytes | LookupFailure:
     """Return the bytes of a history that was found."""
     return found.prompt if isinstance(found, History) else found
 
@@ -131,7 +137,7 @@
         """Deny a turn that was never answered, once the log was read to its end."""
         ledger = await self.ledger("a")
         found = await ledger.history(PROGRAM, TurnId("nothing"))
-        self.assertIs(found, Lookup.ABSENT)
+        self.assertIs(found, LookupFailure.ABSENT)
 
     async def test_unknown_while_store_is_away(self) -> None:
         """Admit uncertainty about a turn while the log can't be read.
@@ -144,7 +150,7 @@
         await self.commit(first, "t1", None, b"in", b"out")
         self.clients["b"].faults.down = True
         found = await second.history(PROGRAM, TurnId("t1"))
-        self.assertIs(found, Lookup.UNCERTAIN)
+        self.assertIs(found, LookupFailure.UNCERTAIN)
 
     async def test_all_processes_lost(self) -> None:
         """Find a turn after every process was lost and the history dropped."""
--- a/sequoiaarch/tests/ledger/random_tests.py
+++ b/sequoiaarch/tests/ledger/random_tests.py
@@ -9,7 +9,7 @@
 from ...ids import ProgramId, TurnId
 from ...ledger.ledger import Ledger
 from ...ledger.partition_map import PartitionMap
-from ...ledger.terms import BudgetVerdict, History, Lookup, TurnStart, TurnTerms
+from ...ledger.terms import BudgetVerdict, History, LookupFailure, TurnStart, TurnTerms
 from ...ledger.turns import LocalTurn, LocalTurns
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 
@@ -117,7 +117,7 @@
     async def _run(self, process: _Process, start: TurnStart) -> None:
         opened = await process.turns.open(start)
         if not isinstance(opened, LocalTurn):
-            assert opened is not Lookup.ABSENT, (start, opened)
+            assert opened is not LookupFailure.ABSENT, (start, opened)
             return
         try:
             before = self.prompts[start.previous][1] if start.previous else b""
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -29,7 +29,7 @@
 from ..ledger.terms import (
     BudgetVerdict,
     History,
-    Lookup,
+    LookupFailure,
     TurnContent,
     TurnStart,
     TurnTerms,
@@ -492,7 +492,7 @@
 class TurnRefused(Message, frozen=True, kw_only=True, tag="turn_refused"):
     """Say why a turn was not opened: one of the two is set."""
 
-    lookup: Lookup | None = None
+    lookup: LookupFailure | None = None
     verdict: BudgetVerdict | None = None
 
 
