--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -21,7 +21,7 @@
 from ..ids import InstanceId, WriterId
 from ..ledger.ledger import Ledger
 from ..ledger.partition_map import PartitionMap
-from ..ledger.split import BudgetSplit, PartLent, WholeInLog
+from ..ledger.split import BudgetSplit, LendingSplit, LogOnlySplit
 from ..ledger.sweeper import Sweeper
 from ..ledger.turns import LocalTurns, Turns
 from ..observe.events import EventLog
@@ -91,7 +91,7 @@
         self.targets = Targets(dropped=self._forget)
         writer = WriterId(secrets.token_hex(WRITER_BYTES))
         # Without peers nobody could borrow, and the lent part would lie idle.
-        split: BudgetSplit = WholeInLog() if peers is None else PartLent()
+        split: BudgetSplit = LogOnlySplit() if peers is None else LendingSplit()
         partition_map = PartitionMap(per_topic=options.store.partitions)
         self.ledger = Ledger(
             log=keyed_log,
--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -12,7 +12,7 @@
 from .partition import LedgerPartition
 from .records import GrantRecord, encode_record, grant_key
 from .reservation import Reservation, first_part
-from .split import BudgetSplit, WholeInLog
+from .split import BudgetSplit, LogOnlySplit
 from .terms import BudgetVerdict, TurnTerms
 
 log = logbook.Logger("budget")
@@ -42,7 +42,7 @@
 
     def __init__(self, *, writer: WriterId, split: BudgetSplit | None = None) -> None:
         self._writer = writer
-        self._split = split or WholeInLog()
+        self._split = split or LogOnlySplit()
         self._accounts: dict[ProgramId, Account] = {}
 
     def knows(self, program: ProgramId) -> bool:
--- a/sequoiaarch/ledger/split.py
+++ b/sequoiaarch/ledger/split.py
@@ -28,7 +28,7 @@
         """Return the tokens that the lender at a place may lend in all."""
 
 
-class WholeInLog:
+class LogOnlySplit:
     """Grant everything in the log; nothing is lent."""
 
     def in_log(self, terms: TurnTerms) -> int:
@@ -40,7 +40,7 @@
         return 0
 
 
-class PartLent:
+class LendingSplit:
     """Lend a quarter of each budget, in disjoint parts for lenders by their place.
 
     What may be handed out in all stays below the budget and one turn more,
--- a/sequoiaarch/tests/fleet/growth_tests.py
+++ b/sequoiaarch/tests/fleet/growth_tests.py
@@ -18,7 +18,7 @@
 from ...fleet.standing import Standing
 from ...ids import DataCentre, HostName, Offset, ProgramId, WriterId
 from ...ledger.loans import LoanBook
-from ...ledger.split import PartLent
+from ...ledger.split import LendingSplit
 from ...storage.keyed import KeyedRecord, ListedRecord
 
 SIZES = (30, 100, 540)
@@ -52,7 +52,7 @@
             writer=writer_of(0),
             own=OWN,
             peers=self.peers,
-            book=LoanBook(split=PartLent()),
+            book=LoanBook(split=LendingSplit()),
             claims=self.claims,
             standing=self.standing,
         )
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -32,7 +32,7 @@
 from ...ledger.loans import FORGET_AFTER, LoanBook
 from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
-from ...ledger.split import PartLent
+from ...ledger.split import LendingSplit
 from ...ledger.terms import BudgetVerdict, TurnStart, TurnTerms
 from ...ledger.turns import LOG_PATIENCE, LocalTurn, LocalTurns
 from ...routing.follower import TopicFollower
@@ -103,9 +103,9 @@
             log=self.client,
             writer=self.writer,
             partition_map=PartitionMap(per_topic=2),
-            split=PartLent(),
+            split=LendingSplit(),
         )
-        self.book = LoanBook(split=PartLent(), carried=self.claims.carried)
+        self.book = LoanBook(split=LendingSplit(), carried=self.claims.carried)
         self.seen_from = 0.0
         self.now = 0.0
         self.standing = Standing()
@@ -305,7 +305,7 @@
                 opened.close()
             else:
                 self.assertIs(opened, BudgetVerdict.UNCERTAIN)
-        self.assertEqual(handed, PartLent().lent(BUDGET, 0))
+        self.assertEqual(handed, LendingSplit().lent(BUDGET, 0))
 
     async def test_turns_that_use_little_go_on(self) -> None:
         """Lend again what turns did not use, for as long as the outage lasts."""
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -11,7 +11,7 @@
 from ...ids import LoanId, Offset, ProgramId, TurnId
 from ...ledger import loans as loans_module
 from ...ledger.loans import FORGET_AFTER, REMEMBER_SETTLED, LoanBook
-from ...ledger.split import PartLent, WholeInLog
+from ...ledger.split import LendingSplit, LogOnlySplit
 from ...ledger.terms import TurnTerms
 from ...storage.keyed import ListedRecord
 
@@ -47,7 +47,7 @@
 
     def test_parts_never_exceed_the_budget_and_one_turn(self) -> None:
         """Bound what the log and any number of lenders hand out together."""
-        split = PartLent()
+        split = LendingSplit()
         for budget, most in itertools.product((1, 7, 100, 1725, 2304), (1, 50, 600)):
             turn = terms(budget, most)
             lent = sum(split.lent(budget, place) for place in range(20))
@@ -57,11 +57,11 @@
 
     def test_log_admits_a_turn_of_any_budget_that_holds_one(self) -> None:
         """Grant the only turn of a small budget although a part is lent."""
-        self.assertEqual(PartLent().in_log(terms(100, 100)), 100)
+        self.assertEqual(LendingSplit().in_log(terms(100, 100)), 100)
 
     def test_nothing_is_lent_where_the_log_has_all(self) -> None:
         """Lend nothing without a lent part."""
-        book = LoanBook(split=WholeInLog())
+        book = LoanBook(split=LogOnlySplit())
         self.assertEqual(book.lend(LoanId("1"), terms(1000, 10), 0, LEAST), 0)
 
 
@@ -71,7 +71,7 @@
     def setUp(self) -> None:
         """Make a book; the first place may lend 375 of a budget of 2000."""
         self.clock = Clock()
-        self.book = LoanBook(split=PartLent(), clock=self.clock)
+        self.book = LoanBook(split=LendingSplit(), clock=self.clock)
 
     def test_open_loans_count_at_what_they_cover(self) -> None:
         """Refuse a loan whose tokens an open turn may still need."""
@@ -258,7 +258,7 @@
         found = self.books.get(claim)
         if found is None:
             carried = lambda program: self.carried  # noqa: E731
-            found = self.books[claim] = LoanBook(split=PartLent(), carried=carried)
+            found = self.books[claim] = LoanBook(split=LendingSplit(), carried=carried)
         return found
 
 
@@ -294,7 +294,7 @@
         verb, _, name = step.partition(" ")
         turn = terms(BUDGET, MOST)
         if verb == "grant":
-            if world.granted + MOST <= PartLent().in_log(turn):
+            if world.granted + MOST <= LendingSplit().in_log(turn):
                 world.granted += MOST
                 world.handed += MOST
         elif verb == "claim":
@@ -334,7 +334,7 @@
 
     def test_less_than_the_least_is_not_lent(self) -> None:
         """Refuse a loan that would likely break the turn off midway."""
-        book = LoanBook(split=PartLent())
+        book = LoanBook(split=LendingSplit())
         self.assertEqual(book.lend(LoanId("1"), terms(2000, 300), 0, 120), 300)
         self.assertEqual(book.lend(LoanId("2"), terms(2000, 300), 0, 120), 0)
         self.assertEqual(book.lend(LoanId("3"), terms(2000, 100), 0, 40), 75)
--- a/sequoiaarch/tests/ledger/losses_tests.py
+++ b/sequoiaarch/tests/ledger/losses_tests.py
@@ -13,7 +13,7 @@
 from ...ledger.ledger import Ledger
 from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
-from ...ledger.split import BudgetSplit, PartLent, WholeInLog
+from ...ledger.split import BudgetSplit, LendingSplit, LogOnlySplit
 from ...ledger.terms import BudgetVerdict, TurnContent, TurnTerms
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 
@@ -22,7 +22,7 @@
 BUDGETS = (900, 1134, 1800, 2600, 5200)
 # Budgets that are granted turn by turn.
 SMALL = tuple(budget for budget in BUDGETS if budget < 4 * MOST)
-SPLITS: tuple[BudgetSplit, ...] = (WholeInLog(), PartLent())
+SPLITS: tuple[BudgetSplit, ...] = (LogOnlySplit(), LendingSplit())
 # A turn is lost after its first part, and raised once, twice or more.
 HANDED = (0, 40, 200, 400, MOST)
 
@@ -51,7 +51,7 @@
     def __init__(self, *, budget: int, split: BudgetSplit | None = None) -> None:
         self.budget = budget
         self.store = KeyedStore()
-        self.split = split or WholeInLog()
+        self.split = split or LogOnlySplit()
         self.processes: list[Process] = []
         self.open: dict[Reservation, tuple[Process, int]] = {}
         self.ended = 0
--- a/sequoiaarch/tests/ledger/promise_tests.py
+++ b/sequoiaarch/tests/ledger/promise_tests.py
@@ -9,7 +9,7 @@
 
 from ...ledger import budgets as budgets_module
 from ...ledger.reservation import Reservation
-from ...ledger.split import PartLent, WholeInLog
+from ...ledger.split import LendingSplit, LogOnlySplit
 from ...ledger.terms import BudgetVerdict
 from .losses_tests import MOST, SMALL, Process, Program
 
@@ -27,7 +27,7 @@
 
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
-        split = self.rng.choice((WholeInLog(), PartLent()))
+        split = self.rng.choice((LogOnlySplit(), LendingSplit()))
         self.program = Program(budget=self.rng.choice(BUDGETS), split=split)
         self.places = [self.program.process() for _ in range(PROCESSES)]
         self.steps: list[str] = []
