--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -203,10 +203,10 @@
                 taken.close()
         return accepted
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
         if self._own is not None:
-            self._own.hand_out(tokens)
+            self._own.record_usage(tokens)
         else:
             self._handed += tokens
 
--- a/sequoiaarch/fleet/lenders.py
+++ b/sequoiaarch/fleet/lenders.py
@@ -78,7 +78,7 @@
         # loan, so asking would fail with an error, and what goes out is not counted.
         return not self._closed and total <= self._tokens
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
         self._handed += tokens
 
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -119,7 +119,7 @@
         opened = self._open.get(request.opening)
         if opened is None:
             return failed(NOT_OPEN)
-        opened.hand_out_total(request.handed)
+        opened.record_total_usage(request.handed)
         if not await opened.cover_total(request.total):
             return TurnRefused(verdict=BudgetVerdict.EXCEEDED)
         if request.opening not in self._open:
@@ -133,7 +133,7 @@
             # This process took the place of the one that opened it.
             await self._ledger.write(request.terms, request.content)
             return
-        opened.hand_out_total(request.handed)
+        opened.record_total_usage(request.handed)
         await opened.commit_for(request.content)
 
     def _close(self, opening: OpeningId, handed: int) -> None:
@@ -141,7 +141,7 @@
         if opened is None:
             self._remember_end(opening)
             return
-        opened.hand_out_total(handed)
+        opened.record_total_usage(handed)
         opened.close()
 
     def _remember_end(self, opening: OpeningId) -> None:
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -309,7 +309,7 @@
         covered = await asked if asked is not None else await self.turn.cover(tokens)
         if not covered:
             return False
-        self.turn.hand_out(tokens)
+        self.turn.record_usage(tokens)
         if not self.turn.covers(tokens):
             self._asking = asyncio.create_task(self.turn.cover(tokens))
         return True
--- a/sequoiaarch/ledger/holds.py
+++ b/sequoiaarch/ledger/holds.py
@@ -32,7 +32,7 @@
     async def cover(self, total: int) -> bool:
         """Return whether the turn may hand out so many tokens in all."""
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
 
     def close(self) -> None:
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -105,7 +105,7 @@
             self._raiser.raise_grant(self._account)
         return await self._granted_verdict() is BudgetVerdict.FITS
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
         account = self._account
         self._handed += tokens
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -61,7 +61,7 @@
     async def cover(self, tokens: int) -> bool:
         """Ask for so many more tokens; return whether they may go to the caller."""
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
 
     async def commit(self, given: bytes, produced: bytes) -> None:
@@ -205,10 +205,10 @@
         """Write the program of the turn beside its run."""
         self._announced = self._ledger.announce(self._start.terms)
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
         self._handed += tokens
-        self._hold.hand_out(tokens)
+        self._hold.record_usage(tokens)
 
     async def commit(self, given: bytes, produced: bytes) -> None:
         """Make the turn part of the history; return once that is durable."""
@@ -217,9 +217,9 @@
         if self._announced is not None:
             await self._announced
 
-    def hand_out_total(self, total: int) -> None:
+    def record_total_usage(self, total: int) -> None:
         """Count what another process has handed out in all."""
-        self.hand_out(max(0, total - self._handed))
+        self.record_usage(max(0, total - self._handed))
 
     async def commit_for(self, content: TurnContent) -> None:
         """Commit what another process relayed and announced."""
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -222,7 +222,7 @@
         """
         turn = await self.opened(self.other, start("t1", budget=4 * MOST - 10))
         self.assertFalse(turn.covers(40))
-        turn.hand_out(30)
+        turn.record_usage(30)
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
         self.answer_with(restarted.answer)
@@ -258,7 +258,7 @@
         """Run and commit a turn that hands out ten tokens."""
         turn = await self.opened(process, begun)
         turn.announce()
-        turn.hand_out(10)
+        turn.record_usage(10)
         await turn.commit(given, made)
         turn.close()
         return turn
@@ -359,7 +359,7 @@
         self.assertFalse(turn.covers(40))
         for _ in range(10):
             self.assertTrue(await turn.cover(10))
-            turn.hand_out(10)
+            turn.record_usage(10)
         turn.close()
         async with asyncio.timeout(PATIENCE):
             while self.delegate.ledger.spent(start("t1").terms) < MOST:
@@ -373,12 +373,12 @@
         delegate had granted counts as spent, the stream does not break.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST))
-        turn.hand_out(30)
+        turn.record_usage(30)
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
         self.answer_with(restarted.answer)
         self.assertTrue(await turn.cover(30))
-        turn.hand_out(30)
+        turn.record_usage(30)
         self.assertIn("after all", turn.where)
         turn.announce()
         await turn.commit(b"in", b"out")
@@ -395,7 +395,7 @@
         nothing may be granted here for a turn that has ended.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST))
-        turn.hand_out(30)
+        turn.record_usage(30)
         turn.announce()
         ended = asyncio.Event()
         self.covers_arrive_after(ended)
@@ -415,7 +415,7 @@
         first. The delegate is well, and nothing is left to be granted here.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST, kept=False))
-        turn.hand_out(30)
+        turn.record_usage(30)
         ended = asyncio.Event()
         self.covers_arrive_after(ended)
         asking = asyncio.create_task(turn.cover(10))
@@ -459,7 +459,7 @@
         that is under way waits for it longer than one that begins.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST))
-        turn.hand_out(30)
+        turn.record_usage(30)
         before = self.delegate.turn_server.answer
 
         async def slow(request: Request, send: Send) -> Reply:
@@ -481,7 +481,7 @@
         not be cut for that.
         """
         turn = await self.opened(self.other, start("t1", budget=MOST + 40))
-        turn.hand_out(30)
+        turn.record_usage(30)
 
         async def forgotten(request: Request, send: Send) -> Reply:
             return failed("not open here")
@@ -501,7 +501,7 @@
         handed = 0
         for number in range(4):
             turn = await self.opened(self.other, start(f"t{number}", kept=False))
-            turn.hand_out(MOST)
+            turn.record_usage(MOST)
             handed += MOST
             turn.close()
 
@@ -515,7 +515,7 @@
             if isinstance(found, LookupFailure | BudgetVerdict):
                 break
             if await found.verdict() is BudgetVerdict.FITS:
-                found.hand_out(MOST)
+                found.record_usage(MOST)
                 handed += MOST
             found.close()
         self.assertLessEqual(handed, BUDGET)
@@ -539,7 +539,7 @@
         for turn, tokens in zip(turns, (64, 34), strict=True):
             self.assertIsInstance(turn, DelegatedTurn)
             if await turn.cover(tokens):
-                turn.hand_out(tokens)
+                turn.record_usage(tokens)
                 handed += tokens
         self.assertLessEqual(handed, await self.granted(self.delegate))
 
@@ -587,7 +587,7 @@
         through both processes. Neither can have tokens granted any more.
         """
         first = await self.opened(self.other, start("t0", kept=False))
-        first.hand_out(10)
+        first.record_usage(10)
         first.close()
         for process in (self.delegate, self.other):
             process.client.faults.down = True
@@ -598,7 +598,7 @@
             if isinstance(found, LookupFailure | BudgetVerdict):
                 break
             ran += 1
-            found.hand_out(10)
+            found.record_usage(10)
             found.close()
         self.assertGreaterEqual(ran, 2)
 
@@ -699,7 +699,7 @@
         self.late(ConfirmTurnRequest)
         turn = await self.opened(self.other, start("t1", kept=False))
         self.assertIn("after all", turn.where)
-        turn.hand_out(10)
+        turn.record_usage(10)
         turn.close()
         await asyncio.sleep(2 * LIFETIME)
         self.other.ledger._budgets.give_back_all()
@@ -715,7 +715,7 @@
         turn = await self.opened(self.other, start("t1", lifetime=PATIENCE))
         self.deaf(CommitTurnRequest)
         turn.announce()
-        turn.hand_out(10)
+        turn.record_usage(10)
         await turn.commit(b"in", b"out")
         turn.close()
         await self.ended_at_delegate(within=SETTLE_TIME)
@@ -730,7 +730,7 @@
         """
         turn = await self.opened(self.other, start("t1", kept=False, lifetime=PATIENCE))
         self.deaf(CloseTurnRequest)
-        turn.hand_out(10)
+        turn.record_usage(10)
         turn.close()
         await self.ended_at_delegate(within=SETTLE_TIME)
         self.delegate.ledger._budgets.give_back_all()
@@ -797,10 +797,10 @@
         earlier = await self.opened(self.other, self.begun("t1"))
         newer = await self.opened(self.other, self.begun("t2"))
         self.assertTrue(await earlier.cover(COVERED))
-        earlier.hand_out(COVERED)
+        earlier.record_usage(COVERED)
         for _ in range(2):
             self.assertTrue(await earlier.cover(BESIDE // 2))
-            earlier.hand_out(BESIDE // 2)
+            earlier.record_usage(BESIDE // 2)
         self.assertFalse(await earlier.cover(1))
         self.assertEqual(self.other.delegates.of(PROGRAM), self.delegate.name)
         await self.run_whole(newer)
@@ -813,7 +813,7 @@
         """
         earlier = await self.opened(self.other, self.begun("t1"))
         newer = await self.opened(self.other, self.begun("t2"))
-        newer.hand_out(10)
+        newer.record_usage(10)
         newer.close()
         await self.run_whole(earlier)
 
@@ -824,7 +824,7 @@
         than the first one tells the delegate.
         """
         earlier = await self.opened(self.other, self.begun("t1"))
-        earlier.hand_out(10)
+        earlier.record_usage(10)
         newer = await self.opened(self.other, self.begun("t2"))
         earlier.close()
         await self.run_whole(newer)
@@ -840,7 +840,7 @@
         """
         newer = await self.opened(self.other, self.begun("t2"))
         late = await self.opened(self.other, self.begun("t1"))
-        newer.hand_out(COVERED)
+        newer.record_usage(COVERED)
         asking = asyncio.create_task(newer.cover(MOST - COVERED))
         await asyncio.sleep(LATE)
         late.close()
@@ -871,7 +871,7 @@
         """Hand out the most of a turn by events, and end it."""
         for _ in range(10):
             self.assertTrue(await turn.cover(MOST // 10))
-            turn.hand_out(MOST // 10)
+            turn.record_usage(MOST // 10)
         turn.close()
 
 
--- a/sequoiaarch/tests/fleet/late_ends_tests.py
+++ b/sequoiaarch/tests/fleet/late_ends_tests.py
@@ -119,7 +119,7 @@
         )
         if isinstance(second, LocalTurn):
             while handed <= 2 * MOST and await second.cover(10):
-                second.hand_out(10)
+                second.record_usage(10)
                 handed += 10
             second.close()
         self.assertLessEqual(handed, MOST)
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -265,7 +265,7 @@
         """
         self.take_store_away()
         turn = await self.lent(self.other, "turn-1")
-        turn.hand_out(30)
+        turn.record_usage(30)
         commit = asyncio.create_task(turn.commit(b"in", b"out"))
         await asyncio.sleep(0.2)
         self.assertFalse(commit.done())
@@ -300,7 +300,7 @@
             opened = await process.turns.open(start(f"turn-{number}"))
             if isinstance(opened, LocalTurn):
                 assert opened.covered is not None
-                opened.hand_out(opened.covered)
+                opened.record_usage(opened.covered)
                 handed += opened.covered
                 opened.close()
             else:
@@ -312,7 +312,7 @@
         self.take_store_away()
         for number in range(6):
             turn = await self.lent(self.other, f"turn-{number}", most=200)
-            turn.hand_out(40)
+            turn.record_usage(40)
             turn.close()
             await self.until(lambda: not self._owes())
 
@@ -329,14 +329,14 @@
         opened = await self.other.turns.open(start("turn-1"))
         assert isinstance(opened, LocalTurn)
         self.assertIs(await opened.verdict(), BudgetVerdict.FITS)
-        opened.hand_out(30)
+        opened.record_usage(30)
         opened.close()
         self.take_store_away()
         for number in (2, 3, 4):
             turn = await self.other.turns.open(start(f"turn-{number}"))
             assert isinstance(turn, LocalTurn)
             self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
-            turn.hand_out(30)
+            turn.record_usage(30)
             turn.close()
             await self.until(lambda: not self._owes())
 
@@ -346,7 +346,7 @@
         first = await self.lent(self.other, "turn-1", most=200)
         second = await self.lent(self.other, "turn-2", most=300)
         self.assertEqual(second.covered, 175)
-        second.hand_out(170)
+        second.record_usage(170)
         self.assertFalse(await second.cover(10))
         first.close()
         await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
@@ -357,7 +357,7 @@
         self.take_store_away()
         await self.lent(self.other, "turn-1", most=200)
         turn = await self.lent(self.other, "turn-2", most=300)
-        turn.hand_out(170)
+        turn.record_usage(170)
         for process in self.processes:
             process.client.faults.down = False
         self.assertTrue(await turn.cover(10))
@@ -374,11 +374,11 @@
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
         self.assertEqual(turn.covered, 100)
-        turn.hand_out(90)
+        turn.record_usage(90)
         self.take_store_away()
         self.assertTrue(await turn.cover(60))
         self.assertIn("lent", turn.where)
-        turn.hand_out(60)
+        turn.record_usage(60)
         turn.close()
         await self.until(lambda: not self._owes())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 60})
@@ -393,7 +393,7 @@
         turn = await self.other.turns.open(start("turn-1", budget=600, most=500))
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
-        turn.hand_out(160)
+        turn.record_usage(160)
         self.take_store_away()
         covering = asyncio.create_task(turn.cover(200))
         await asyncio.sleep(0.5)
@@ -504,7 +504,7 @@
         """
         self.take_store_away()
         turn = await self.lent(self.other, "turn-1", most=100)
-        turn.hand_out(100)
+        turn.record_usage(100)
         turn.close()
         await self.until(lambda: not self._owes())
         for process in self.processes:
@@ -548,7 +548,7 @@
         slow = SlowAnswers(self.lender)
         slow.settlements_lost = 1
         turn = await self.lent(self.other, "turn-1", most=300)
-        turn.hand_out(40)
+        turn.record_usage(40)
         turn.close()
         await asyncio.sleep(RETRY_TIMEOUT)
         await self.until(lambda: not self._owes())
@@ -603,7 +603,7 @@
         self.take_store_away()
         first = await self.lent(self.other, "turn-1", most=200)
         second = await self.lent(self.other, "turn-2", most=300)
-        second.hand_out(170)
+        second.record_usage(170)
         first.close()
         await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
@@ -652,7 +652,7 @@
         self.take_store_away()
         await self.lent(self.other, "turn-1", most=200)
         turn = await self.lent(self.other, "turn-2", most=300)
-        turn.hand_out(175)
+        turn.record_usage(175)
         covering = asyncio.create_task(turn.cover(10))
         await asyncio.sleep(0.5)
         self.assertFalse(covering.done())
@@ -701,7 +701,7 @@
             one for one in self.processes if one not in (self.lender, self.other)
         )
         turn = await self.lent(third, "turn-2", most=75)
-        turn.hand_out(75)
+        turn.record_usage(75)
         turn.close()
         await self.until(lambda: self.lender.book.totals() == {PROGRAM: 375})
         clock = mock.Mock(return_value=time.monotonic() + RETENTION + FORGET_AFTER + 1)
@@ -781,7 +781,7 @@
             self.assertIs(await opened.verdict(), BudgetVerdict.FITS)
             # What a turn holds at first is less near the end of a budget.
             self.assertTrue(await opened.cover(MOST))
-            opened.hand_out(MOST)
+            opened.record_usage(MOST)
             opened.close()
             handed += MOST
         self.assertEqual(handed, 1900)
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -259,7 +259,7 @@
         verdict = await found.verdict()
         if verdict is BudgetVerdict.FITS:
             self.assertTrue(await found.cover(tokens))
-            found.hand_out(tokens)
+            found.record_usage(tokens)
         found.close()
         return verdict
 
@@ -280,7 +280,7 @@
             if await found.verdict() is not BudgetVerdict.FITS:
                 return False
             self.assertTrue(await found.cover(MOST), "cut although it had room")
-            found.hand_out(MOST)
+            found.record_usage(MOST)
             return True
 
         results = await asyncio.gather(*(one(number) for number in range(wanted)))
@@ -311,7 +311,7 @@
             hold = await first.reserve(of_two(turn))
             assert isinstance(hold, Reservation)
             self.assertIs(await hold.verdict(), BudgetVerdict.FITS)
-            hold.hand_out(tokens)
+            hold.record_usage(tokens)
             if turn == "t1":
                 hold.close()
                 await first.flush()
@@ -341,7 +341,7 @@
             if first.covered is None:
                 break
         self.assertIsNone(first.covered)
-        first.hand_out(MOST)
+        first.record_usage(MOST)
         fresh = await self.ledger("b")
         handed = MOST
         with mock.patch.object(budgets_module, "RETURN_BOUND", 0.0):
@@ -349,7 +349,7 @@
                 hold = await fresh.reserve(third(f"u{number}"))
                 if isinstance(hold, Reservation):
                     self.assertTrue(await hold.cover(MOST))
-                    hold.hand_out(MOST)
+                    hold.record_usage(MOST)
                     handed += MOST
         self.assertEqual(handed, 3 * MOST)
 
@@ -361,7 +361,7 @@
         self.assertIs(await hold.verdict(), BudgetVerdict.FITS)
         for _ in range(10):
             self.assertTrue(await hold.cover(10 + hold._handed))
-            hold.hand_out(10)
+            hold.record_usage(10)
         state = ledger.partition(PROGRAM).state
         self.assertGreaterEqual(state.granted(PROGRAM, ledger.writer), 100)
 
@@ -580,7 +580,7 @@
             found = await ledger.reserve(small_terms(f"t{life}"))
             assert isinstance(found, Reservation), (life, found)
             self.assertIs(await found.verdict(), BudgetVerdict.FITS)
-            found.hand_out(20)
+            found.record_usage(20)
             content = TurnContent(parent=None, given=b"", produced=b"")
             await ledger.commit(found, content)
             await ledger.close()
--- a/sequoiaarch/tests/ledger/lending.py
+++ b/sequoiaarch/tests/ledger/lending.py
@@ -26,7 +26,7 @@
         """Return whether so many tokens may be handed out."""
         return total <= self.terms.most
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count nothing."""
 
     def close(self) -> None:
--- a/sequoiaarch/tests/ledger/losses_tests.py
+++ b/sequoiaarch/tests/ledger/losses_tests.py
@@ -113,7 +113,7 @@
         process, before = self.open[turn]
         if not await turn.cover(before + tokens):
             return False
-        turn.hand_out(tokens)
+        turn.record_usage(tokens)
         self.handed += tokens
         self.open[turn] = (process, before + tokens)
         return True
--- a/sequoiaarch/tests/ledger/random_tests.py
+++ b/sequoiaarch/tests/ledger/random_tests.py
@@ -130,7 +130,7 @@
             program = start.terms.program
             if not await opened.cover(tokens):
                 return
-            opened.hand_out(tokens)
+            opened.record_usage(tokens)
             self.handed[program] = self.handed.get(program, 0) + tokens
             given = f"[{start.terms.turn}".encode()
             await opened.commit(given, b"]")
--- a/sequoiaarch/tests/ledger/sessions_tests.py
+++ b/sequoiaarch/tests/ledger/sessions_tests.py
@@ -32,14 +32,14 @@
         """Return the session of the turn."""
         return self.hold.terms.session
 
-    async def hand_out(self, tokens: int) -> bool:
+    async def send(self, tokens: int) -> bool:
         """Hand out tokens if they are covered."""
         if self.told is not None and self.handed + tokens > self.told:
             if not await self.hold.cover(self.handed + tokens):
                 return False
             self.told = self.hold.covered
         self.handed += tokens
-        self.hold.hand_out(tokens)
+        self.hold.record_usage(tokens)
         return True
 
 
@@ -90,7 +90,7 @@
 
     async def _hand_out(self, turn: _Turn) -> None:
         tokens = min(self.rng.randint(1, 30), MOST - turn.handed)
-        if await turn.hand_out(tokens):
+        if await turn.send(tokens):
             self.handed += tokens
         else:
             assert self._given_up(turn), turn.hold.terms
--- a/sequoiaarch/tests/ledger/turns_tests.py
+++ b/sequoiaarch/tests/ledger/turns_tests.py
@@ -152,6 +152,6 @@
         handed = 0
         for hold in running:
             if hold.covered is None or await hold.cover(MOST):
-                hold.hand_out(MOST)
+                hold.record_usage(MOST)
                 handed += MOST
         self.assertEqual(handed, 2 * MOST)
