--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -129,9 +129,9 @@
         self._own = taken
         return await taken.verdict()
 
-    def announce(self) -> None:
+    def write_index(self) -> None:
         """Write the program of the turn beside its run."""
-        self._announced = self._turns.ledger.announce(self._start.terms)
+        self._announced = self._turns.ledger.write_index(self._start.terms)
 
     def covers(self, tokens: int) -> bool:
         """Return whether so many more tokens may go to the caller unasked."""
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -232,7 +232,7 @@
     async def _relay(self, running: Running, output: _TurnOutput | None) -> bool:
         """Relay a stream; return whether it was whole."""
         if output is not None and self._route.retained:
-            output.turn.announce()
+            output.turn.write_index()
         splitter = EventSplitter()
         while (part := await self._attempts.next_part(running)) is not None:
             for event in splitter.feed(part):
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -106,7 +106,7 @@
         """Return the tokens that a program has used, as far as is known here."""
         return self._budgets.spent(self.partition(terms.program), terms.program)
 
-    def announce(self, terms: TurnTerms) -> asyncio.Future[Offset]:
+    def write_index(self, terms: TurnTerms) -> asyncio.Future[Offset]:
         """Write the program of a turn beside the turn; await it before its end."""
         return self._index.put(terms.turn, terms.program, terms.retention)
 
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -52,7 +52,7 @@
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn is granted."""
 
-    def announce(self) -> None:
+    def write_index(self) -> None:
         """Write the program of the turn beside its run."""
 
     def covers(self, tokens: int) -> bool:
@@ -201,9 +201,9 @@
         self._before = self._handed
         return True
 
-    def announce(self) -> None:
+    def write_index(self) -> None:
         """Write the program of the turn beside its run."""
-        self._announced = self._ledger.announce(self._start.terms)
+        self._announced = self._ledger.write_index(self._start.terms)
 
     def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -257,7 +257,7 @@
     ) -> OpenTurn:
         """Run and commit a turn that hands out ten tokens."""
         turn = await self.opened(process, begun)
-        turn.announce()
+        turn.write_index()
         turn.record_usage(10)
         await turn.commit(given, made)
         turn.close()
@@ -318,7 +318,7 @@
         written the turn; the same record under the same key does no harm.
         """
         turn = await self.opened(self.other, start("t1"))
-        turn.announce()
+        turn.write_index()
         before = self.delegate.turn_server.answer
 
         async def lost(request: Request, send: Send) -> Reply:
@@ -338,7 +338,7 @@
     async def test_delegate_restarts_within_a_turn(self) -> None:
         """Commit through a delegate that has forgotten the turn."""
         turn = await self.opened(self.other, start("t1"))
-        turn.announce()
+        turn.write_index()
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
         self.answer_with(restarted.answer)
@@ -380,7 +380,7 @@
         self.assertTrue(await turn.cover(30))
         turn.record_usage(30)
         self.assertIn("after all", turn.where)
-        turn.announce()
+        turn.write_index()
         await turn.commit(b"in", b"out")
         found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
         assert not isinstance(found, LookupFailure)
@@ -396,7 +396,7 @@
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST))
         turn.record_usage(30)
-        turn.announce()
+        turn.write_index()
         ended = asyncio.Event()
         self.covers_arrive_after(ended)
         asking = asyncio.create_task(turn.cover(10))
@@ -576,7 +576,7 @@
         self.delegate.turn_server.stopping = True
         second = await self.opened(self.other, start("t2"))
         self.assertIsInstance(second, LocalTurn)
-        first.announce()
+        first.write_index()
         await first.commit(b"in", b"out")
         self.assertEqual(self.delegate.turn_server.open_turns, 0)
 
@@ -714,7 +714,7 @@
         """
         turn = await self.opened(self.other, start("t1", lifetime=PATIENCE))
         self.deaf(CommitTurnRequest)
-        turn.announce()
+        turn.write_index()
         turn.record_usage(10)
         await turn.commit(b"in", b"out")
         turn.close()
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -98,7 +98,7 @@
         """Run and commit a turn."""
         reservation = await self.reserved(ledger, turn, program=program)
         await reservation.verdict()
-        announced = ledger.announce(reservation.terms)
+        announced = ledger.write_index(reservation.terms)
         content = TurnContent(
             parent=TurnId(parent) if parent else None, given=given, produced=made
         )
@@ -216,7 +216,7 @@
         await reservation.verdict()
         content = TurnContent(parent=None, base=found.prompt, given=b"+", produced=b"!")
         await second.commit(reservation, content)
-        await second.announce(reservation.terms)
+        await second.write_index(reservation.terms)
         await self.store.add(second.partition_map.of_program(PROGRAM), "t1", b"")
         third = await self.ledger("c")
         last = await third.history(other, TurnId("u1"))
--- a/sequoiaarch/tests/ledger/random_tests.py
+++ b/sequoiaarch/tests/ledger/random_tests.py
@@ -125,7 +125,7 @@
             assert found == before, (start, found, before)
             if await opened.verdict() is not BudgetVerdict.FITS:
                 return
-            opened.announce()
+            opened.write_index()
             tokens = self.rng.randrange(MOST)
             program = start.terms.program
             if not await opened.cover(tokens):
