--- a/sequoiaarch/fleet/lenders.py
+++ b/sequoiaarch/fleet/lenders.py
@@ -49,7 +49,7 @@
         self._closed = False
 
     @property
-    def by_log(self) -> bool:
+    def from_log(self) -> bool:
         """Return False: a lender covers it."""
         return False
 
--- a/sequoiaarch/ledger/holds.py
+++ b/sequoiaarch/ledger/holds.py
@@ -15,7 +15,7 @@
         """Return the terms of the turn."""
 
     @property
-    def by_log(self) -> bool:
+    def from_log(self) -> bool:
         """Return whether the log grants it; else a lender covers it."""
 
     @property
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -65,7 +65,7 @@
         return self._account.make_sure(self._part)
 
     @property
-    def by_log(self) -> bool:
+    def from_log(self) -> bool:
         """Return True: the log grants it."""
         return True
 
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -115,7 +115,7 @@
     @property
     def where(self) -> str:
         """Return which process keeps the account, for the log."""
-        return "here" if self._hold.by_log else f"here, {self.covered} lent"
+        return "here" if self._hold.from_log else f"here, {self.covered} lent"
 
     @property
     def granted(self) -> bool:
@@ -179,7 +179,7 @@
         most = max(total, self._start.terms.most)
         terms = self._start.terms.rest(most - self._handed)
         other: Hold | BudgetVerdict | None
-        if self._hold.by_log:
+        if self._hold.from_log:
             other = await self._lender.borrow(terms, least=total - self._handed)
         else:
             other = await self._ledger.reserve(terms)
--- a/sequoiaarch/tests/ledger/lending.py
+++ b/sequoiaarch/tests/ledger/lending.py
@@ -13,7 +13,7 @@
 
     def __init__(self, *, terms: TurnTerms) -> None:
         self.terms = terms
-        self.by_log = False
+        self.from_log = False
         self.granted = True
         self.covered: int | None = terms.most
         self.closed = False
