--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -72,7 +72,7 @@
             return 0
         account = self._account(terms)
         before = account.open.get(loan, 0)
-        left = self.lend_left(terms.program, terms.budget, place) + before
+        left = self.available(terms.program, terms.budget, place) + before
         amount = min(terms.most, left)
         if amount <= before or amount < least:
             self.refused += 1
@@ -81,7 +81,7 @@
         self.lent += 1
         return amount
 
-    def lend_left(self, program: ProgramId, budget: int, place: int) -> int:
+    def available(self, program: ProgramId, budget: int, place: int) -> int:
         """Return the tokens of a budget that are not lent yet."""
         account = self._accounts.get(program)
         used = account.used if account is not None else 0
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -349,7 +349,7 @@
         second.record_usage(170)
         self.assertFalse(await second.cover(10))
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
+        await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         self.assertTrue(await second.cover(10))
 
     async def test_loan_that_is_used_up_goes_on_in_the_log(self) -> None:
@@ -515,7 +515,7 @@
         await self.until(lambda: any(one.place == 0 for one in left))
         await self.until(lambda: self._knows_a_lender(self.other))
         follower = next(one for one in left if one.place == 0)
-        self.assertEqual(follower.book.lend_left(PROGRAM, BUDGET, 0), 275)
+        self.assertEqual(follower.book.available(PROGRAM, BUDGET, 0), 275)
         refused = await self.lender.turns.open(start("turn-2"))
         assert isinstance(refused, LocalTurn)
         self.assertIsNone(refused.covered)
@@ -605,7 +605,7 @@
         second = await self.lent(self.other, "turn-2", most=300)
         second.record_usage(170)
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
+        await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
         slow.answer_delay = 2 * LOG_PATIENCE
         self.assertFalse(await second._cover_soon(180))
@@ -634,7 +634,7 @@
         assert isinstance(opened, TurnOpened)
         self.assertEqual(opened.covered, 175)
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
+        await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
         slow.answer_delay = 2 * LOG_PATIENCE
         asked = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
@@ -725,7 +725,7 @@
         lender = next(one for one in self.processes if one.place is not None)
         other = next(one for one in self.processes if one.place is None)
         self.assertEqual(lender.place, 2)
-        self.assertEqual(lender.book.lend_left(PROGRAM, BUDGET, 2), 23)
+        self.assertEqual(lender.book.available(PROGRAM, BUDGET, 2), 23)
         await asyncio.sleep(0.3)
         clock.return_value = LENDING_LEASE + RETENTION + RETIRE_MARGIN
         await asyncio.sleep(0.3)
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -106,7 +106,7 @@
         """
         self.book.settle(LoanId("1"), PROGRAM, 0)
         self.assertEqual(self.book.lend(LoanId("1"), terms(2000, 250), 0, LEAST), 0)
-        self.assertEqual(self.book.lend_left(PROGRAM, 2000, 0), 375)
+        self.assertEqual(self.book.available(PROGRAM, 2000, 0), 375)
 
     def test_raise_that_comes_after_the_settlement(self) -> None:
         """Lend nothing more to a loan whose turn has ended.
