--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -14,7 +14,7 @@
     CALLER_PATIENCE,
     COVER_RETRY,
     LocalTurn,
-    content_of,
+    turn_content,
 )
 from ..wire.links import Link
 from ..wire.messages import (
@@ -213,9 +213,9 @@
     async def commit(self, given: bytes, produced: bytes) -> None:
         """Make the turn part of the history; return once that is durable."""
         self._ended = True
-        content = content_of(self._start, self.history, given, produced)
+        content = turn_content(self._start, self.history, given, produced)
         if self._own is not None:
-            await self._own.commit_for(content)
+            await self._own.commit_content(content)
         else:
             await self._commit_there(content)
         if self._announced is not None:
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -134,7 +134,7 @@
             await self._ledger.write(request.terms, request.content)
             return
         opened.record_total_usage(request.handed)
-        await opened.commit_for(request.content)
+        await opened.commit_content(request.content)
 
     def _close(self, opening: OpeningId, handed: int) -> None:
         opened = self._open.pop(opening, None)
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -212,8 +212,8 @@
 
     async def commit(self, given: bytes, produced: bytes) -> None:
         """Make the turn part of the history; return once that is durable."""
-        content = content_of(self._start, self._history, given, produced)
-        await self.commit_for(content)
+        content = turn_content(self._start, self._history, given, produced)
+        await self.commit_content(content)
         if self._announced is not None:
             await self._announced
 
@@ -221,7 +221,7 @@
         """Count what another process has handed out in all."""
         self.record_usage(max(0, total - self._handed))
 
-    async def commit_for(self, content: TurnContent) -> None:
+    async def commit_content(self, content: TurnContent) -> None:
         """Commit what another process relayed and announced."""
         self._ended = True
         await self._ledger.commit(self._hold, content)
@@ -317,7 +317,7 @@
         reserved.close()
 
 
-def content_of(
+def turn_content(
     start: TurnStart, history: History | None, given: bytes, produced: bytes
 ) -> TurnContent:
     """Return what a turn adds to its program's history."""
--- a/sequoiaarch/tests/platform/path_tests.py
+++ b/sequoiaarch/tests/platform/path_tests.py
@@ -276,7 +276,7 @@
         """
         steps: list[str] = []
         asked = asyncio.Event()
-        commit_for = LocalTurn.commit_for
+        commit_content = LocalTurn.commit_content
 
         async def never_covers(turn: LocalTurn, tokens: int) -> bool:
             if turn.covers(tokens):
@@ -291,7 +291,7 @@
 
         async def noted_commit(turn: LocalTurn, content: TurnContent) -> None:
             steps.append("written")
-            await commit_for(turn, content)
+            await commit_content(turn, content)
 
         async def ends_then(exchange: TargetExchange) -> None:
             attempt = attempt_of(exchange)
@@ -305,7 +305,7 @@
         daemon = await self.add_daemon("a")
         with (
             mock.patch.object(LocalTurn, "cover", never_covers),
-            mock.patch.object(LocalTurn, "commit_for", noted_commit),
+            mock.patch.object(LocalTurn, "commit_content", noted_commit),
         ):
             answer = await self.turn(daemon, b"one", attempt="t1", budget=200)
         self.assertEqual(answer.body, b"".join(events_of("t1")))
