--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -180,8 +180,8 @@
         self._parts: list[Coroutine[Any, Any, None]] = [
             configuration.follow(),
             self._targets_follower.follow(),
-            self.ledger.trim(),
-            self.ledger.give_back(),
+            self.ledger.run_trim(),
+            self.ledger.run_release(),
             sweeper.run(),
             self.dispatcher.pool.sweep(),
             self.dispatcher.load.watch(),
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -146,13 +146,13 @@
             self._index.close(), *(one.close() for one in self._partitions.values())
         )
 
-    async def give_back(self) -> None:
+    async def run_release(self) -> None:
         """Return the rests of still programs, again and again."""
         while True:
             await asyncio.sleep(RETURN_INTERVAL)
             self._budgets.give_back_rests()
 
-    async def trim(self) -> None:
+    async def run_trim(self) -> None:
         """Keep the memory of turns bounded, again and again."""
         while True:
             await asyncio.sleep(TRIM_INTERVAL)
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -384,7 +384,7 @@
             mock.patch.object(budgets_module, "RETURN_INTERVAL", 0.1),
             mock.patch.object(ledger_module, "RETURN_INTERVAL", 0.1),
         ):
-            returning = asyncio.create_task(first.give_back())
+            returning = asyncio.create_task(first.run_release())
             self.addCleanup(returning.cancel)
             waiting = await first.reserve(of("t1"))
             assert isinstance(waiting, Reservation)
@@ -543,7 +543,7 @@
         """Let another process use what a still program does not."""
         first = await self.ledger("a")
         second = await self.ledger("b")
-        returning = asyncio.create_task(first.give_back())
+        returning = asyncio.create_task(first.run_release())
         self.addCleanup(returning.cancel)
         for number in range(3):
             self.assertIs(
--- a/sequoiaarch/tests/ledger/losses_tests.py
+++ b/sequoiaarch/tests/ledger/losses_tests.py
@@ -337,7 +337,7 @@
             mock.patch.object(ledger_module, "RETURN_INTERVAL", 0.01),
         )
         with returning[0], returning[1]:
-            task = asyncio.create_task(first.ledger.give_back())
+            task = asyncio.create_task(first.ledger.run_release())
             await asyncio.sleep(1.0)
             task.cancel()
         self.assertEqual(await self.held(program, first), 0)
