--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -179,7 +179,7 @@
         """
         self._tell_end()
         terms = self._start.terms
-        rest = terms.rest(max(1, terms.most - self._handed))
+        rest = terms.remainder(max(1, terms.most - self._handed))
         start = msgspec.structs.replace(self._start, terms=rest)
         deadline = asyncio.get_running_loop().time() + CALLER_PATIENCE
         while not self._ended and asyncio.get_running_loop().time() < deadline:
--- a/sequoiaarch/ledger/terms.py
+++ b/sequoiaarch/ledger/terms.py
@@ -46,7 +46,7 @@
     retention: float
     session: SessionId = SessionId("")
 
-    def rest(self, most: int) -> TurnTerms:
+    def remainder(self, most: int) -> TurnTerms:
         """Return the terms of what is left, which takes no other turn's place."""
         return msgspec.structs.replace(self, most=most, session=SessionId(""))
 
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -177,7 +177,7 @@
     async def _cover_elsewhere(self, total: int) -> bool:
         """Have a lender cover the rest of the turn in place of the log, or it again."""
         most = max(total, self._start.terms.most)
-        terms = self._start.terms.rest(most - self._handed)
+        terms = self._start.terms.remainder(most - self._handed)
         other: Hold | BudgetVerdict | None
         if self._hold.from_log:
             other = await self._lender.borrow(terms, least=total - self._handed)
