--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -146,7 +146,7 @@
         if info.previous is not None:
             return
         retry_after = self._dispatcher.refuse_start(self._route, info)
-        if retry_after is None or await self._ledger.knows_program(self._program):
+        if retry_after is None or await self._ledger.may_know_program(self._program):
             return
         raise fail(
             ErrorKind.OVERLOADED, "all engines are full", retry_after=retry_after
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -67,7 +67,7 @@
         """Return how many turns are held in memory."""
         return sum(one.state.turns for one in self._partitions.values())
 
-    async def knows_program(self, program: ProgramId) -> bool:
+    async def may_know_program(self, program: ProgramId) -> bool:
         """Return whether a program has begun; True where that can't be told."""
         if self._budgets.knows(program):
             return True
