--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -27,7 +27,7 @@
 RETURN_AFTER = 0.8
 RETURN_INTERVAL = 0.4
 # Another process returns its rest within this time. Seconds.
-RETURN_BOUND = 2.0
+RELEASE_DEADLINE = 2.0
 # An account is kept for this time beyond the retention of its program: what was
 # handed out here counts if the program comes back at the last moment. Seconds.
 FORGET_AFTER = 60.0
@@ -160,7 +160,7 @@
         engine would find the rest of its budget taken, and be cut.
         """
         partly = account.wanted > account.granted
-        due = account.told_at + RETURN_BOUND / 2 < now
+        due = account.told_at + RELEASE_DEADLINE / 2 < now
         if partly and due and account.settled and not account.partition.stuck:
             self._write(account, account.granted, urgent=False)
 
@@ -184,7 +184,7 @@
         A process that was lost a while ago needs nothing more.
         """
         state = account.partition.state
-        return state.wanted_others(account.program, state.now() - RETURN_BOUND)
+        return state.wanted_others(account.program, state.now() - RELEASE_DEADLINE)
 
     def _account(self, partition: LedgerPartition, terms: TurnTerms) -> Account:
         account = self._accounts.get(terms.program)
@@ -241,7 +241,7 @@
         used = state.used_others(account.program) + account.handed
         if used + account.most > account.limit:
             return BudgetVerdict.EXCEEDED
-        held = state.returning(account.program, state.now() - RETURN_BOUND)
+        held = state.returning(account.program, state.now() - RELEASE_DEADLINE)
         open_here = any(part.left for part in account.open)
         # What was in the way of a grant may be gone by the time that it is read.
         returned = self._fits(account, terms)
@@ -336,7 +336,7 @@
     def _note_room(self, account: Account) -> None:
         """Keep what others left free where the newest grant stands in the log."""
         state = account.partition.state
-        since = state.now() - RETURN_BOUND
+        since = state.now() - RELEASE_DEADLINE
         beside = state.wanted_beside(account.program, self._writer, since)
         account.room = None if beside is None else account.limit - beside
 
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -487,7 +487,7 @@
             return failed("not open here")
 
         self.answer_with(forgotten)
-        with mock.patch.object(budgets_module, "RETURN_BOUND", 0.5):
+        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.5):
             self.assertTrue(await turn.cover(70))
         turn.close()
 
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -317,7 +317,7 @@
                 await first.flush()
         fresh = await self.ledger("b")
         # Until then the answer is to come back, as a live process may return it.
-        with mock.patch.object(budgets_module, "RETURN_BOUND", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
             found = await fresh.reserve(of_two("t3"))
         self.assertIsInstance(found, Reservation)
 
@@ -344,7 +344,7 @@
         first.record_usage(MOST)
         fresh = await self.ledger("b")
         handed = MOST
-        with mock.patch.object(budgets_module, "RETURN_BOUND", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
             for number in range(4):
                 hold = await fresh.reserve(third(f"u{number}"))
                 if isinstance(hold, Reservation):
@@ -380,7 +380,7 @@
             return msgspec.structs.replace(terms(turn), budget=budget)
 
         with (
-            mock.patch.object(budgets_module, "RETURN_BOUND", 0.6),
+            mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.6),
             mock.patch.object(budgets_module, "RETURN_INTERVAL", 0.1),
             mock.patch.object(ledger_module, "RETURN_INTERVAL", 0.1),
         ):
--- a/sequoiaarch/tests/ledger/losses_tests.py
+++ b/sequoiaarch/tests/ledger/losses_tests.py
@@ -157,7 +157,7 @@
 
     def setUp(self) -> None:
         """Have no process wait for another that may be alive."""
-        patch = mock.patch.object(budgets_module, "RETURN_BOUND", 0.0)
+        patch = mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0)
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/sequoiaarch/tests/ledger/promise_tests.py
+++ b/sequoiaarch/tests/ledger/promise_tests.py
@@ -131,7 +131,7 @@
         # What the loop notes for its debugging takes most of the time.
         asyncio.get_running_loop().set_debug(False)
         refused = lost = 0
-        with mock.patch.object(budgets_module, "RETURN_BOUND", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
             for seed in SEEDS:
                 with self.subTest(seed=seed):
                     history = _History(seed=seed)
