--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -11,8 +11,8 @@
 from ..ledger.ledger import Ledger
 from ..ledger.terms import BudgetVerdict, History, TurnContent, TurnStart
 from ..ledger.turns import (
-    CALLER_PATIENCE,
     COVER_RETRY,
+    COVER_TIMEOUT,
     LocalTurn,
     turn_content,
 )
@@ -181,7 +181,7 @@
         terms = self._start.terms
         rest = terms.remainder(max(1, terms.most - self._handed))
         start = msgspec.structs.replace(self._start, terms=rest)
-        deadline = asyncio.get_running_loop().time() + CALLER_PATIENCE
+        deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
             taken = await self._turns.take_over(start)
             if isinstance(taken, LocalTurn) and await self._accept(taken):
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -23,14 +23,14 @@
 # A grant that takes longer than this is not waited for where a lender can cover
 # the turn: callers leave after two seconds without an event, and a store that
 # has gone silent is known to be away only after one. Seconds.
-LOG_PATIENCE = 0.3
+LOG_TIMEOUT = 0.3
 # A loan of less than this part of a turn's most would likely be used up before
 # the turn ends: turns generate a quarter of their most on average, and 44 % at
 # the mean of their length.
 LEAST_PART = 0.4
 # A stream that has to wait for its budget in the middle does so for as long as
 # callers bear without an event, asking again meanwhile. Seconds.
-CALLER_PATIENCE = 2.0
+COVER_TIMEOUT = 2.0
 COVER_RETRY = 0.25
 
 
@@ -131,7 +131,7 @@
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn is granted, or borrow."""
         try:
-            async with asyncio.timeout(LOG_PATIENCE):
+            async with asyncio.timeout(LOG_TIMEOUT):
                 verdict = await self._hold.verdict()
         except TimeoutError:
             verdict = BudgetVerdict.UNCERTAIN
@@ -160,7 +160,7 @@
         """
         if await self._cover_soon(total) or await self._cover_elsewhere(total):
             return True
-        deadline = asyncio.get_running_loop().time() + CALLER_PATIENCE
+        deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(COVER_RETRY)
             if await self._cover_soon(total):
@@ -169,7 +169,7 @@
 
     async def _cover_soon(self, total: int) -> bool:
         try:
-            async with asyncio.timeout(LOG_PATIENCE):
+            async with asyncio.timeout(LOG_TIMEOUT):
                 return await self._hold.cover(total - self._before)
         except TimeoutError:
             return False
@@ -272,7 +272,7 @@
         """Have the log grant a turn, or else a lender cover it."""
         asking = asyncio.create_task(self._ledger.reserve(terms))
         try:
-            await asyncio.wait([asking], timeout=LOG_PATIENCE)
+            await asyncio.wait([asking], timeout=LOG_TIMEOUT)
             if asking.done() and asking.result() not in LENDABLE:
                 return asking.result()
             verdict = asking.result() if asking.done() else BudgetVerdict.UNCERTAIN
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -34,7 +34,7 @@
 from ...ledger.reservation import Reservation
 from ...ledger.split import LendingSplit
 from ...ledger.terms import BudgetVerdict, TurnStart, TurnTerms
-from ...ledger.turns import LOG_PATIENCE, LocalTurn, LocalTurns
+from ...ledger.turns import LOG_TIMEOUT, LocalTurn, LocalTurns
 from ...routing.follower import TopicFollower
 from ...standins.keyed_store import KeyedStore
 from ...wire.links import Send
@@ -607,7 +607,7 @@
         first.close()
         await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
-        slow.answer_delay = 2 * LOG_PATIENCE
+        slow.answer_delay = 2 * LOG_TIMEOUT
         self.assertFalse(await second._cover_soon(180))
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 300})
         self.assertEqual(second.covered, 175)
@@ -636,7 +636,7 @@
         first.close()
         await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
-        slow.answer_delay = 2 * LOG_PATIENCE
+        slow.answer_delay = 2 * LOG_TIMEOUT
         asked = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
         await delegate.answer(asked, mock.AsyncMock())
         await self.until(lambda: not self._owes())
@@ -808,7 +808,7 @@
 
         ledger = mock.Mock(spec=Ledger, reserve=reserve)
         opening = asyncio.create_task(LocalTurns(ledger=ledger).open(start("turn")))
-        await asyncio.sleep(2 * LOG_PATIENCE)
+        await asyncio.sleep(2 * LOG_TIMEOUT)
         granted.set()
         with self.assertRaises(asyncio.CancelledError):
             await opening
--- a/sequoiaarch/tests/ledger/turns_tests.py
+++ b/sequoiaarch/tests/ledger/turns_tests.py
@@ -82,7 +82,7 @@
         for patience in (DELAY / 5, 10 * DELAY):
             with (
                 self.subTest(patience=patience),
-                mock.patch.object(turns_module, "LOG_PATIENCE", patience),
+                mock.patch.object(turns_module, "LOG_TIMEOUT", patience),
             ):
                 self.store = KeyedStore()
                 ledger, turns = self.process("a", delay=DELAY)
@@ -105,7 +105,7 @@
         """
         lender = SlowLender()
         budget = 10 * MOST
-        with mock.patch.object(turns_module, "LOG_PATIENCE", DELAY / 5):
+        with mock.patch.object(turns_module, "LOG_TIMEOUT", DELAY / 5):
             ledger, _ = self.process("b", delay=DELAY)
             hold = await ledger.reserve(terms("t2", budget))
             assert isinstance(hold, Reservation)
