--- a/sequoiaarch/tests/fleet/late_ends_tests.py
+++ b/sequoiaarch/tests/fleet/late_ends_tests.py
@@ -20,7 +20,7 @@
     Request,
     TurnOpened,
 )
-from ..ledger.lending import SlowLender
+from ..ledger.fake_lender import SlowLender
 from .delegates_tests import (
     MOST,
     PATIENCE,
--- a/sequoiaarch/tests/ledger/turns_tests.py
+++ b/sequoiaarch/tests/ledger/turns_tests.py
@@ -14,7 +14,7 @@
 from ...ledger.terms import BudgetVerdict, TurnStart, TurnTerms
 from ...ledger.turns import LocalTurn, LocalTurns
 from ...standins.keyed_store import KeyedStore
-from .lending import SlowLender
+from .fake_lender import SlowLender
 
 PROGRAM = ProgramId("program")
 MOST = 100
