--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -127,7 +127,7 @@
             # comes: all that it had asked for would count as spent.
             self._lower(account, urgent=unused)
 
-    def give_back_all(self) -> None:
+    def release_all(self) -> None:
         """Return all that no open turn needs, as the process is to end.
 
         What is not returned counts as spent by whoever follows: after a
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -135,7 +135,7 @@
 
     async def flush(self) -> None:
         """Write all that is queued, and return what open turns don't need."""
-        self._budgets.give_back_all()
+        self._budgets.release_all()
         await asyncio.gather(
             self._index.flush(), *(one.flush() for one in self._partitions.values())
         )
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -702,8 +702,8 @@
         turn.record_usage(10)
         turn.close()
         await asyncio.sleep(2 * LIFETIME)
-        self.other.ledger._budgets.give_back_all()
-        self.delegate.ledger._budgets.give_back_all()
+        self.other.ledger._budgets.release_all()
+        self.delegate.ledger._budgets.release_all()
         await self.settled(10)
 
     async def test_end_is_told_where_the_commit_was_not(self) -> None:
@@ -719,7 +719,7 @@
         await turn.commit(b"in", b"out")
         turn.close()
         await self.ended_at_delegate(within=SETTLE_TIME)
-        self.delegate.ledger._budgets.give_back_all()
+        self.delegate.ledger._budgets.release_all()
         await self.settled(10)
 
     async def test_end_that_is_lost_is_told_again(self) -> None:
@@ -733,7 +733,7 @@
         turn.record_usage(10)
         turn.close()
         await self.ended_at_delegate(within=SETTLE_TIME)
-        self.delegate.ledger._budgets.give_back_all()
+        self.delegate.ledger._budgets.release_all()
         await self.settled(10)
 
     async def test_end_that_overtakes_the_beginning(self) -> None:
