--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -180,7 +180,7 @@
 
     async def take_over(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
         """Reserve a turn here whose delegate was lost; its history is known."""
-        return await self._local.take(start, None)
+        return await self._local.reserve(start, None)
 
     def lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
         """Note that a delegate was lost with a turn open."""
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -251,9 +251,9 @@
             if isinstance(found, LookupFailure):
                 return found
             history = found
-        return await self.take(start, history)
+        return await self.reserve(start, history)
 
-    async def take(
+    async def reserve(
         self, start: TurnStart, history: History | None
     ) -> LocalTurn | BudgetVerdict:
         """Reserve a turn whose history is known, or say why not."""
