--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -11,7 +11,7 @@
 from ..ledger.ledger import Ledger
 from ..ledger.terms import BudgetVerdict, History, TurnContent, TurnStart
 from ..ledger.turns import (
-    COVER_RETRY,
+    COVER_RETRY_INTERVAL,
     COVER_TIMEOUT,
     LocalTurn,
     turn_content,
@@ -187,7 +187,7 @@
             if isinstance(taken, LocalTurn) and await self._accept(taken):
                 self._own = taken
                 return taken
-            await asyncio.sleep(COVER_RETRY)
+            await asyncio.sleep(COVER_RETRY_INTERVAL)
         return None
 
     async def _accept(self, taken: LocalTurn) -> bool:
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -31,7 +31,7 @@
 # A stream that has to wait for its budget in the middle does so for as long as
 # callers bear without an event, asking again meanwhile. Seconds.
 COVER_TIMEOUT = 2.0
-COVER_RETRY = 0.25
+COVER_RETRY_INTERVAL = 0.25
 
 
 class OpenTurn(Protocol):
@@ -162,7 +162,7 @@
             return True
         deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
-            await asyncio.sleep(COVER_RETRY)
+            await asyncio.sleep(COVER_RETRY_INTERVAL)
             if await self._cover_soon(total):
                 return True
         return False
