--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -196,7 +196,7 @@
             account.granted = account.asked = account.handed
         account.budget = terms.budget
         account.most = max(account.most, terms.most)
-        account.limit = max(account.limit, self._split.in_log(terms))
+        account.limit = max(account.limit, self._split.log_limit(terms))
         account.touched = asyncio.get_running_loop().time()
         return account
 
--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -85,7 +85,7 @@
         """Return the tokens of a budget that are not lent yet."""
         account = self._accounts.get(program)
         used = account.used if account is not None else 0
-        return self._split.lent(budget, place) - used - self._carried(program)
+        return self._split.lender_limit(budget, place) - used - self._carried(program)
 
     def totals(self) -> dict[ProgramId, int]:
         """Return what was lent of each program."""
--- a/sequoiaarch/ledger/split.py
+++ b/sequoiaarch/ledger/split.py
@@ -21,21 +21,21 @@
 class BudgetSplit(Protocol):
     """Say how much of a budget may be had where."""
 
-    def in_log(self, terms: TurnTerms) -> int:
+    def log_limit(self, terms: TurnTerms) -> int:
         """Return the tokens that all grants in the log may add up to."""
 
-    def lent(self, budget: int, place: int) -> int:
+    def lender_limit(self, budget: int, place: int) -> int:
         """Return the tokens that the lender at a place may lend in all."""
 
 
 class LogOnlySplit:
     """Grant everything in the log; nothing is lent."""
 
-    def in_log(self, terms: TurnTerms) -> int:
+    def log_limit(self, terms: TurnTerms) -> int:
         """Return the whole budget."""
         return terms.budget
 
-    def lent(self, budget: int, place: int) -> int:
+    def lender_limit(self, budget: int, place: int) -> int:
         """Return 0."""
         return 0
 
@@ -49,11 +49,11 @@
     in full.
     """
 
-    def in_log(self, terms: TurnTerms) -> int:
+    def log_limit(self, terms: TurnTerms) -> int:
         """Return the part that is not lent, and one turn."""
         return min(terms.budget, terms.budget - _lent(terms.budget) + terms.most)
 
-    def lent(self, budget: int, place: int) -> int:
+    def lender_limit(self, budget: int, place: int) -> int:
         """Return the part of a place; the parts of all places add up to a quarter."""
         return int(_lent(budget) * (1 - NEXT_SHARE) * NEXT_SHARE**place)
 
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -305,7 +305,7 @@
                 opened.close()
             else:
                 self.assertIs(opened, BudgetVerdict.UNCERTAIN)
-        self.assertEqual(handed, LendingSplit().lent(BUDGET, 0))
+        self.assertEqual(handed, LendingSplit().lender_limit(BUDGET, 0))
 
     async def test_turns_that_use_little_go_on(self) -> None:
         """Lend again what turns did not use, for as long as the outage lasts."""
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -50,14 +50,14 @@
         split = LendingSplit()
         for budget, most in itertools.product((1, 7, 100, 1725, 2304), (1, 50, 600)):
             turn = terms(budget, most)
-            lent = sum(split.lent(budget, place) for place in range(20))
+            lent = sum(split.lender_limit(budget, place) for place in range(20))
             with self.subTest(budget=budget, most=most):
-                self.assertLessEqual(split.in_log(turn) + lent, budget + most)
-                self.assertLessEqual(split.in_log(turn), budget)
+                self.assertLessEqual(split.log_limit(turn) + lent, budget + most)
+                self.assertLessEqual(split.log_limit(turn), budget)
 
     def test_log_admits_a_turn_of_any_budget_that_holds_one(self) -> None:
         """Grant the only turn of a small budget although a part is lent."""
-        self.assertEqual(LendingSplit().in_log(terms(100, 100)), 100)
+        self.assertEqual(LendingSplit().log_limit(terms(100, 100)), 100)
 
     def test_nothing_is_lent_where_the_log_has_all(self) -> None:
         """Lend nothing without a lent part."""
@@ -294,7 +294,7 @@
         verb, _, name = step.partition(" ")
         turn = terms(BUDGET, MOST)
         if verb == "grant":
-            if world.granted + MOST <= LendingSplit().in_log(turn):
+            if world.granted + MOST <= LendingSplit().log_limit(turn):
                 world.granted += MOST
                 world.handed += MOST
         elif verb == "claim":
--- a/sequoiaarch/tests/ledger/losses_tests.py
+++ b/sequoiaarch/tests/ledger/losses_tests.py
@@ -67,7 +67,7 @@
     @property
     def limit(self) -> int:
         """Return what the log may grant in all; the rest is lent."""
-        return self.split.in_log(self.terms("any"))
+        return self.split.log_limit(self.terms("any"))
 
     @property
     def counted(self) -> int:
