--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -158,16 +158,16 @@
         loan is used up the log may be back. If neither helps, the stream waits
         for as long as its caller does.
         """
-        if await self._cover_soon(total) or await self._cover_elsewhere(total):
+        if await self._cover_in_time(total) or await self._cover_elsewhere(total):
             return True
         deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(COVER_RETRY_INTERVAL)
-            if await self._cover_soon(total):
+            if await self._cover_in_time(total):
                 return True
         return False
 
-    async def _cover_soon(self, total: int) -> bool:
+    async def _cover_in_time(self, total: int) -> bool:
         try:
             async with asyncio.timeout(LOG_TIMEOUT):
                 return await self._hold.cover(total - self._before)
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -608,7 +608,7 @@
         await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
         slow.answer_delay = 2 * LOG_TIMEOUT
-        self.assertFalse(await second._cover_soon(180))
+        self.assertFalse(await second._cover_in_time(180))
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 300})
         self.assertEqual(second.covered, 175)
         self.assertTrue(second.covers(5))
