--- a/sequoiaarch/ledger/account.py
+++ b/sequoiaarch/ledger/account.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(kw_only=True, eq=False)
-class OpenPart:
+class TurnAllocation:
     """Hold what an open turn may still hand out, in tokens.
 
     `left` is the most that it may come to, `held` the part that the log was
@@ -21,21 +21,21 @@
     needs the rest.
     """
 
-    left: int
-    held: int
+    remaining: int
+    reserved: int
     session: SessionId
-    sure: int = 0
-    given_up: bool = False
+    confirmed: int = 0
+    superseded: bool = False
 
     @property
-    def whole(self) -> bool:
+    def fully_reserved(self) -> bool:
         """Return whether all that the turn may need is held."""
-        return self.held >= self.left
+        return self.reserved >= self.remaining
 
     @property
-    def claimed(self) -> int:
+    def wanted(self) -> int:
         """Return what no other turn may use."""
-        return self.held if self.given_up else self.left
+        return self.reserved if self.superseded else self.remaining
 
 
 class Account:
@@ -54,83 +54,85 @@
         self.budget = terms.budget
         self.limit = 0
         self.retention = terms.retention
-        self.most = terms.most
+        self.max_turn_tokens = terms.most
         self.granted = 0
-        self.asked = 0
-        self.told = 0
-        self.told_at = 0.0
-        self.room: int | None = None
-        self.handed = 0
+        self.requested = 0
+        self.published = 0
+        self.published_at = 0.0
+        self.ceiling: int | None = None
+        self.used = 0
         # In the order in which the grant covers them. Not by the name of their turn: of
         # two openings of one turn the end of either would return what the other holds.
-        self.open: list[OpenPart] = []
-        self.raising: asyncio.Task[bool] | None = None
-        self.touched = 0.0
+        self.open: list[TurnAllocation] = []
+        self.raise_task: asyncio.Task[bool] | None = None
+        self.last_used = 0.0
 
     @property
     def needed(self) -> int:
         """Return what was handed out and what is held for open turns."""
-        return self.handed + sum(part.held for part in self.open)
+        return self.used + sum(allocation.reserved for allocation in self.open)
 
     @property
     def wanted(self) -> int:
         """Return what was handed out and the most that open turns may need."""
-        return self.handed + sum(part.claimed for part in self.open)
+        return self.used + sum(allocation.wanted for allocation in self.open)
 
     @property
-    def settled(self) -> bool:
+    def up_to_date(self) -> bool:
         """Return whether the log grants what is held, and others know the rest."""
         return self.needed <= self.granted and self.wanted <= max(
-            self.granted, self.told
+            self.granted, self.published
         )
 
     @property
-    def excess(self) -> bool:
+    def has_excess(self) -> bool:
         """Return whether more than is needed is granted, asked for or left free."""
-        most = max(self.granted, self.asked)
-        return most > self.needed or self.told > self.wanted
+        most = max(self.granted, self.requested)
+        return most > self.needed or self.published > self.wanted
 
-    def covers(self, part: OpenPart) -> bool:
+    def covers(self, allocation: TurnAllocation) -> bool:
         """Return whether the grant covers what a turn holds and all before it.
 
         What is sure for later turns may be handed out unasked: were a raise covered
         by it, more would go out than the log grants.
         """
-        total = self.handed
+        total = self.used
         before = True
-        for one in self.open:
-            total += one.held if before else one.sure
-            before = before and one is not part
+        for other in self.open:
+            total += other.reserved if before else other.confirmed
+            before = before and other is not allocation
         return total <= self.granted
 
-    def make_sure(self, part: OpenPart) -> bool:
+    def confirm(self, allocation: TurnAllocation) -> bool:
         """Mark what a turn holds as sure if the grant covers it; return whether."""
-        covered = self.covers(part)
+        covered = self.covers(allocation)
         if covered:
-            part.sure = part.held
+            allocation.confirmed = allocation.reserved
         return covered
 
-    def has_room(self, part: OpenPart) -> bool:
+    def can_complete(self, allocation: TurnAllocation) -> bool:
         """Return whether a turn can come to its most, and all before it too."""
-        wanted = self.handed + sum(one.claimed for one in self._up_to(part))
-        return wanted <= self.granted or self.room is None or wanted <= self.room
+        wanted = self.used + sum(other.wanted for other in self._through(allocation))
+        return wanted <= self.granted or self.ceiling is None or wanted <= self.ceiling
 
-    def claiming(self, session: SessionId) -> list[OpenPart]:
+    def partly_reserved(self, session: SessionId) -> list[TurnAllocation]:
         """Return the parts of a session that claim more than they hold."""
         return [
-            part
-            for part in self.open
-            if session and part.session == session and part.claimed > part.held
+            allocation
+            for allocation in self.open
+            if session
+            and allocation.session == session
+            and allocation.wanted > allocation.reserved
         ]
 
-    def move_last(self, part: OpenPart) -> None:
+    def move_last(self, allocation: TurnAllocation) -> None:
         """Have the grant cover all other turns before this one."""
-        self.open.remove(part)
-        self.open.append(part)
+        self.open.remove(allocation)
+        self.open.append(allocation)
 
-    def _up_to(self, part: OpenPart) -> Iterator[OpenPart]:
+    def _through(self, allocation: TurnAllocation) -> Iterator[TurnAllocation]:
         """Return the parts of a turn and of all that are covered before it."""
-        for one in self.open:
-            yield one
-            if one is part:
+        for other in self.open:
+            yield other
+            if other is allocation:
                 return
--- a/sequoiaarch/ledger/appender.py
+++ b/sequoiaarch/ledger/appender.py
@@ -18,19 +18,19 @@
 # Records that no caller waits for ride along with the next append, at the
 # latest after this time: half of the second within which a budget may count
 # an ended turn at its most. Seconds.
-GATHER_SECONDS = 0.4
-RETRY_SECONDS = 0.05
-RETRY_LIMIT_SECONDS = 0.5
+MAX_BATCH_DELAY = 0.4
+MIN_RETRY_DELAY = 0.05
+MAX_RETRY_DELAY = 0.5
 # Appends that fail for longer than this mean that the store is away. Seconds.
-AWAY_AFTER_SECONDS = 0.3
+UNAVAILABLE_AFTER = 0.3
 # Bytes of records in one append, well below what one call may carry.
-BATCH_BYTES = 1024 * 1024
+MAX_BATCH_BYTES = 1024 * 1024
 
 
 @dataclass(kw_only=True, eq=False)
-class _Queued:
+class _QueuedRecord:
     record: KeyedRecord
-    done: asyncio.Future[Offset]
+    durable: asyncio.Future[Offset]
 
 
 class Appender:
@@ -47,16 +47,18 @@
         log: KeyedLog,
         partition: Partition,
         writer: str,
-        appended: Callable[[Offset, list[KeyedRecord]], None] = lambda at, batch: None,
+        on_appended: Callable[[Offset, list[KeyedRecord]], None] = lambda at, batch: (
+            None
+        ),
     ) -> None:
         self._log = log
         self._partition = partition
         self._writer = writer
-        self._appended = appended
+        self._on_appended = on_appended
         self._sequence = 0
-        self._queue: deque[_Queued] = deque()
+        self._queue: deque[_QueuedRecord] = deque()
         self._urgent = asyncio.Event()
-        self._stuck_since: float | None = None
+        self._failing_since: float | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
@@ -65,22 +67,22 @@
         return self._task is None
 
     @property
-    def stuck(self) -> bool:
+    def unavailable(self) -> bool:
         """Return whether appends have failed for so long that the store is away."""
-        if self._stuck_since is None:
+        if self._failing_since is None:
             return False
         now = asyncio.get_running_loop().time()
-        return now > self._stuck_since + AWAY_AFTER_SECONDS
+        return now > self._failing_since + UNAVAILABLE_AFTER
 
     def append(self, record: KeyedRecord, *, urgent: bool) -> asyncio.Future[Offset]:
         """Queue a record; the future holds its offset once it is durable."""
-        done: asyncio.Future[Offset] = asyncio.get_running_loop().create_future()
-        self._queue.append(_Queued(record=record, done=done))
+        durable: asyncio.Future[Offset] = asyncio.get_running_loop().create_future()
+        self._queue.append(_QueuedRecord(record=record, durable=durable))
         if urgent:
             self._urgent.set()
         if self._task is None:
             self._task = asyncio.create_task(self._write())
-        return done
+        return durable
 
     async def flush(self) -> None:
         """Wait until all that is queued was written."""
@@ -98,26 +100,26 @@
         try:
             while self._queue:
                 try:
-                    async with asyncio.timeout(GATHER_SECONDS):
+                    async with asyncio.timeout(MAX_BATCH_DELAY):
                         await self._urgent.wait()
                 except TimeoutError:
                     pass
-                await self._write_batch(self._take())
+                await self._write_batch(self._next_batch())
         finally:
             self._task = None
 
-    async def _write_batch(self, batch: list[_Queued]) -> None:
+    async def _write_batch(self, batch: list[_QueuedRecord]) -> None:
         records = [queued.record for queued in batch]
         offset = await self._append_until_done(records)
-        self._appended(offset, records)
-        for place, queued in enumerate(batch):
-            if not queued.done.done():
-                queued.done.set_result(Offset(offset + place))
+        self._on_appended(offset, records)
+        for index, queued in enumerate(batch):
+            if not queued.durable.done():
+                queued.durable.set_result(Offset(offset + index))
 
-    def _take(self) -> list[_Queued]:
-        batch: list[_Queued] = []
+    def _next_batch(self) -> list[_QueuedRecord]:
+        batch: list[_QueuedRecord] = []
         size = 0
-        while self._queue and size < BATCH_BYTES:
+        while self._queue and size < MAX_BATCH_BYTES:
             queued = self._queue.popleft()
             size += len(queued.record.value)
             batch.append(queued)
@@ -128,15 +130,15 @@
     async def _append_until_done(self, records: list[KeyedRecord]) -> Offset:
         writer = Writer(name=self._writer, epoch=1, sequence=self._sequence)
         self._sequence += 1
-        pause = RETRY_SECONDS
+        delay = MIN_RETRY_DELAY
         loop = asyncio.get_running_loop()
         while True:
             answer = await self._log.append(self._partition, records, writer=writer)
             if not isinstance(answer, Failure):
-                self._stuck_since = None
+                self._failing_since = None
                 return answer
-            if self._stuck_since is None:
-                self._stuck_since = loop.time()
+            if self._failing_since is None:
+                self._failing_since = loop.time()
                 log.warning("append to {} fails: {}", self._partition, answer.reason)
-            await asyncio.sleep(pause)
-            pause = min(2 * pause, RETRY_LIMIT_SECONDS)
+            await asyncio.sleep(delay)
+            delay = min(2 * delay, MAX_RETRY_DELAY)
--- a/sequoiaarch/ledger/index.py
+++ b/sequoiaarch/ledger/index.py
@@ -31,11 +31,11 @@
         self, turn: TurnId, program: ProgramId, retention: float
     ) -> asyncio.Future[Offset]:
         """Write the program of a turn; the future is done once it is durable."""
-        place = self._partition_map.of_turn(turn)
-        appender = self._appenders.get(place)
+        partition = self._partition_map.of_turn(turn)
+        appender = self._appenders.get(partition)
         if appender is None:
-            appender = self._appenders[place] = Appender(
-                log=self._log, partition=place, writer=self._writer
+            appender = self._appenders[partition] = Appender(
+                log=self._log, partition=partition, writer=self._writer
             )
         record = IndexRecord(program=program, retention=retention)
         keyed = KeyedRecord(key=turn, value=encode_record(record))
@@ -54,8 +54,12 @@
 
     async def flush(self) -> None:
         """Write all that is queued."""
-        await asyncio.gather(*(one.flush() for one in self._appenders.values()))
+        await asyncio.gather(
+            *(appender.flush() for appender in self._appenders.values())
+        )
 
     async def close(self) -> None:
         """Stop to write."""
-        await asyncio.gather(*(one.close() for one in self._appenders.values()))
+        await asyncio.gather(
+            *(appender.close() for appender in self._appenders.values())
+        )
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -10,7 +10,7 @@
 from ..errors import Failure
 from ..ids import Offset, ProgramId, TurnId, WriterId
 from ..storage.keyed import KeyedLog, KeyedRecord, Partition
-from .budgets import RETURN_INTERVAL, Budgets
+from .budgets import RELEASE_INTERVAL, Budgets
 from .holds import Hold
 from .index import TurnIndex
 from .partition import LedgerPartition
@@ -28,7 +28,7 @@
 DEFAULT_TURN_BYTES = 12 * 1024 * 1024
 TRIM_INTERVAL = 1.0
 # A partition in use stays as it is: its open turns would have to read it again.
-TRIM_AFTER = 5.0
+MIN_IDLE_TIME = 5.0
 # A partition is forgotten when it was not used for longer than a program may
 # pause. Seconds.
 FORGET_AFTER = 300.0
@@ -60,21 +60,21 @@
         self._index = TurnIndex(log=log, partition_map=partition_map, writer=writer)
         # The partition used last stands at the end.
         self._partitions: OrderedDict[Partition, LedgerPartition] = OrderedDict()
-        self._used_at: dict[Partition, float] = {}
+        self._last_used: dict[Partition, float] = {}
 
     @property
     def turns(self) -> int:
         """Return how many turns are held in memory."""
-        return sum(one.state.turns for one in self._partitions.values())
+        return sum(partition.state.turns for partition in self._partitions.values())
 
     async def may_know_program(self, program: ProgramId) -> bool:
         """Return whether a program has begun; True where that can't be told."""
         if self._budgets.knows(program):
             return True
         partition = self.partition(program)
-        if partition.state.knows_program(program) or not await partition.sync():
+        if partition.state.has_program(program) or not await partition.sync():
             return True
-        return partition.state.knows_program(program)
+        return partition.state.has_program(program)
 
     async def history(
         self, program: ProgramId, turn: TurnId
@@ -90,12 +90,12 @@
             return History(prompt=found, own=True)
         if found is LookupFailure.UNCERTAIN:
             return found
-        other = await self._index.find(turn)
-        if isinstance(other, Failure):
+        owner = await self._index.find(turn)
+        if isinstance(owner, Failure):
             return LookupFailure.UNCERTAIN
-        if other is None or other == program:
+        if owner is None or owner == program:
             return LookupFailure.ABSENT
-        found = await self._history_in(other, turn)
+        found = await self._history_in(owner, turn)
         return History(prompt=found, own=False) if isinstance(found, bytes) else found
 
     async def reserve(self, terms: TurnTerms) -> Reservation | BudgetVerdict:
@@ -117,7 +117,7 @@
         append.
         """
         hold.close()
-        self._budgets.return_rest(hold.terms.program)
+        self._budgets.release_unused(hold.terms.program)
         await self.write(hold.terms, content)
 
     async def write(self, terms: TurnTerms, content: TurnContent) -> None:
@@ -137,20 +137,22 @@
         """Write all that is queued, and return what open turns don't need."""
         self._budgets.release_all()
         await asyncio.gather(
-            self._index.flush(), *(one.flush() for one in self._partitions.values())
+            self._index.flush(),
+            *(partition.flush() for partition in self._partitions.values()),
         )
 
     async def close(self) -> None:
         """Stop to write."""
         await asyncio.gather(
-            self._index.close(), *(one.close() for one in self._partitions.values())
+            self._index.close(),
+            *(partition.close() for partition in self._partitions.values()),
         )
 
     async def run_release(self) -> None:
         """Return the rests of still programs, again and again."""
         while True:
-            await asyncio.sleep(RETURN_INTERVAL)
-            self._budgets.give_back_rests()
+            await asyncio.sleep(RELEASE_INTERVAL)
+            self._budgets.release_idle()
 
     async def run_trim(self) -> None:
         """Keep the memory of turns bounded, again and again."""
@@ -160,36 +162,38 @@
 
     def partition(self, program: ProgramId) -> LedgerPartition:
         """Return the partition of a program."""
-        place = self.partition_map.of_program(program)
-        found = self._partitions.get(place)
-        if found is None:
-            found = self._partitions[place] = LedgerPartition(
+        key = self.partition_map.of_program(program)
+        partition = self._partitions.get(key)
+        if partition is None:
+            partition = self._partitions[key] = LedgerPartition(
                 log=self._log,
-                partition=place,
+                partition=key,
                 make_state=self._make_state,
                 writer=self.writer,
             )
-        self._partitions.move_to_end(place)
-        self._used_at[place] = asyncio.get_running_loop().time()
-        return found
+        self._partitions.move_to_end(key)
+        self._last_used[key] = asyncio.get_running_loop().time()
+        return partition
 
     def _make_state(self) -> LedgerState:
         return LedgerState(writer=self.writer, own_grant=self._budgets.granted)
 
     def _trim(self) -> None:
         now = asyncio.get_running_loop().time()
-        held = sum(one.state.turn_bytes for one in self._partitions.values())
-        for place, partition in self._partitions.items():
-            unused = now - self._used_at[place]
-            if unused < TRIM_AFTER:
+        cached = sum(
+            partition.state.turn_bytes for partition in self._partitions.values()
+        )
+        for key, partition in self._partitions.items():
+            idle_time = now - self._last_used[key]
+            if idle_time < MIN_IDLE_TIME:
                 return
             if not partition.idle:
                 continue
-            if unused > FORGET_AFTER:
-                held -= partition.state.turn_bytes
+            if idle_time > FORGET_AFTER:
+                cached -= partition.state.turn_bytes
                 partition.forget()
-            elif held > self._turn_bytes:
-                held -= partition.state.turn_bytes
+            elif cached > self._turn_bytes:
+                cached -= partition.state.turn_bytes
                 partition.drop_turns()
 
     async def _history_in(
@@ -204,6 +208,6 @@
         if found is not None:
             return found
         # A turn whose chain has a gap is not absent.
-        if complete and not partition.state.knows(turn):
+        if complete and not partition.state.has_turn(turn):
             return LookupFailure.ABSENT
         return LookupFailure.UNCERTAIN
--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -15,9 +15,9 @@
 FORGET_AFTER = 60.0
 # A request that comes after its loan was settled may be as late as this, since a
 # connection that is cut holds and repeats it. Seconds.
-REMEMBER_SETTLED = 120.0
+SETTLED_RETENTION = 120.0
 # With more settled loans the oldest are forgotten.
-MOST_SETTLED = 20_000
+MAX_SETTLED = 20_000
 
 
 @dataclass(kw_only=True)
@@ -25,14 +25,14 @@
     """Hold what was lent to one program; `open` holds loans not yet settled."""
 
     retention: float
-    touched: float
-    handed: int = 0
+    last_used: float
+    settled: int = 0
     open: dict[LoanId, int] = field(default_factory=dict)
 
     @property
-    def used(self) -> int:
-        """Return what may have been handed out."""
-        return self.handed + sum(self.open.values())
+    def lent(self) -> int:
+        """Return what may have been settled out."""
+        return self.settled + sum(self.open.values())
 
 
 class LoanBook:
@@ -60,7 +60,7 @@
         self.lent = 0
         self.refused = 0
 
-    def lend(self, loan: LoanId, terms: TurnTerms, place: int, least: int) -> int:
+    def lend(self, loan: LoanId, terms: TurnTerms, rank: int, least: int) -> int:
         """Return how many tokens a loan has now, 0 where fewer than `least` are left.
 
         Asked again for the same loan, it is raised to what the turn may need.
@@ -72,8 +72,8 @@
             return 0
         account = self._account(terms)
         before = account.open.get(loan, 0)
-        left = self.available(terms.program, terms.budget, place) + before
-        amount = min(terms.most, left)
+        available = self.available(terms.program, terms.budget, rank) + before
+        amount = min(terms.most, available)
         if amount <= before or amount < least:
             self.refused += 1
             return before
@@ -81,54 +81,54 @@
         self.lent += 1
         return amount
 
-    def available(self, program: ProgramId, budget: int, place: int) -> int:
+    def available(self, program: ProgramId, budget: int, rank: int) -> int:
         """Return the tokens of a budget that are not lent yet."""
         account = self._accounts.get(program)
-        used = account.used if account is not None else 0
-        return self._split.lender_limit(budget, place) - used - self._carried(program)
+        lent = account.lent if account is not None else 0
+        return self._split.lender_limit(budget, rank) - lent - self._carried(program)
 
     def totals(self) -> dict[ProgramId, int]:
         """Return what was lent of each program."""
         return {
-            program: account.used
+            program: account.lent
             for program, account in self._accounts.items()
-            if account.used
+            if account.lent
         }
 
-    def settle(self, loan: LoanId, program: ProgramId, handed: int) -> None:
+    def settle(self, loan: LoanId, program: ProgramId, used: int) -> None:
         """Count what a loan's turn handed out; the rest can be lent again."""
         self._remember_settled(loan)
         account = self._accounts.get(program)
         if account is None or account.open.pop(loan, None) is None:
             return
-        account.handed += handed
-        account.touched = self._clock()
+        account.settled += used
+        account.last_used = self._clock()
 
     def forget_old(self) -> None:
         """Forget programs that can no longer come back, and loans long settled."""
         now = self._clock()
         self._forget_settled(now)
         for program, account in list(self._accounts.items()):
-            if account.touched + account.retention + FORGET_AFTER < now:
+            if account.last_used + account.retention + FORGET_AFTER < now:
                 del self._accounts[program]
 
     def _forget_settled(self, now: float) -> None:
-        for loan, since in list(self._settled.items()):
-            if since + REMEMBER_SETTLED < now:
+        for loan, settled_at in list(self._settled.items()):
+            if settled_at + SETTLED_RETENTION < now:
                 del self._settled[loan]
 
     def _remember_settled(self, loan: LoanId) -> None:
         self._settled.pop(loan, None)
         self._settled[loan] = self._clock()
-        if len(self._settled) > MOST_SETTLED:
+        if len(self._settled) > MAX_SETTLED:
             del self._settled[next(iter(self._settled))]
 
     def _account(self, terms: TurnTerms) -> _Account:
         now = self._clock()
         account = self._accounts.get(terms.program)
         if account is None:
-            account = _Account(retention=terms.retention, touched=now)
+            account = _Account(retention=terms.retention, last_used=now)
             self._accounts[terms.program] = account
         account.retention = max(account.retention, terms.retention)
-        account.touched = now
+        account.last_used = now
         return account
--- a/sequoiaarch/ledger/partition.py
+++ b/sequoiaarch/ledger/partition.py
@@ -35,7 +35,7 @@
         self._reading: asyncio.Task[bool] | None = None
         self._next_read: asyncio.Task[bool] | None = None
         self._appender = Appender(
-            log=log, partition=partition, writer=writer, appended=self._note_own
+            log=log, partition=partition, writer=writer, on_appended=self._apply_own
         )
 
     @property
@@ -49,9 +49,9 @@
         return self._cursor if self._cursor is not None else Offset(-1)
 
     @property
-    def stuck(self) -> bool:
+    def unavailable(self) -> bool:
         """Return whether appends have failed for so long that the store is away."""
-        return self._appender.stuck
+        return self._appender.unavailable
 
     @property
     def idle(self) -> bool:
@@ -86,7 +86,7 @@
         self.state = self._make_state()
         self._cursor = None
 
-    def _note_own(self, offset: Offset, records: list[KeyedRecord]) -> None:
+    def _apply_own(self, offset: Offset, records: list[KeyedRecord]) -> None:
         """Apply own records at once where nothing of others stands before them.
 
         A turn then needs no read to learn whether its grant holds.
@@ -134,7 +134,7 @@
         """Apply records from an offset on, less those applied meanwhile."""
         if self._cursor is None:
             return
-        for place, record in enumerate(records, start):
-            if place == self._cursor:
+        for offset, record in enumerate(records, start):
+            if offset == self._cursor:
                 self.state.apply(record.key, record.value)
-                self._cursor = Offset(place + 1)
+                self._cursor = Offset(offset + 1)
--- a/sequoiaarch/ledger/partition_map.py
+++ b/sequoiaarch/ledger/partition_map.py
@@ -23,31 +23,31 @@
         self._per_topic = per_topic
 
     @property
-    def all(self) -> list[Partition]:
+    def all_partitions(self) -> list[Partition]:
         """Return every partition that holds records of programs or turns."""
-        found = [self._ledger(number) for number in range(self._ledger_count)]
-        found += [self._index(number) for number in range(self._per_topic)]
-        return found
+        partitions = [self._ledger(number) for number in range(self._ledger_count)]
+        partitions += [self._index(number) for number in range(self._per_topic)]
+        return partitions
 
     def of_program(self, program: ProgramId) -> Partition:
         """Return the partition of a program's turns and grants."""
-        return self._ledger(_digest(program) % self._ledger_count)
+        return self._ledger(_hash(program) % self._ledger_count)
 
     def of_turn(self, turn: TurnId) -> Partition:
         """Return the partition that tells the program of a turn."""
-        return self._index(_digest(turn) % self._per_topic)
+        return self._index(_hash(turn) % self._per_topic)
 
     @property
     def _ledger_count(self) -> int:
         return LEDGER_TOPICS * self._per_topic
 
     def _ledger(self, number: int) -> Partition:
-        topic, part = divmod(number, self._per_topic)
-        return Partition(topic=f"{LEDGER_PREFIX}{topic:02}", number=part)
+        topic, partition = divmod(number, self._per_topic)
+        return Partition(topic=f"{LEDGER_PREFIX}{topic:02}", number=partition)
 
     def _index(self, number: int) -> Partition:
         return Partition(topic=INDEX_TOPIC, number=number)
 
 
-def _digest(name: str) -> int:
+def _hash(name: str) -> int:
     return xxhash.xxh32_intdigest(name.encode())
--- a/sequoiaarch/ledger/split.py
+++ b/sequoiaarch/ledger/split.py
@@ -11,11 +11,11 @@
 # 36 % at most (99 in 100 of 919 programs of a simulated half minute). What lost
 # lenders had counts as spent for minutes: with a half, a program of eight turns
 # that had used an eighth was refused after a crash of all processes.
-LENT_PART = 0.25
+LENT_SHARE = 0.25
 # Lenders of one program that follow each other get this share of what the one
 # before had: three quarters of the lent part go to the first, and whoever comes
 # later takes nothing from those before, dead or alive.
-NEXT_SHARE = 0.25
+NEXT_LENDER_SHARE = 0.25
 
 
 class BudgetSplit(Protocol):
@@ -24,7 +24,7 @@
     def log_limit(self, terms: TurnTerms) -> int:
         """Return the tokens that all grants in the log may add up to."""
 
-    def lender_limit(self, budget: int, place: int) -> int:
+    def lender_limit(self, budget: int, rank: int) -> int:
         """Return the tokens that the lender at a place may lend in all."""
 
 
@@ -35,7 +35,7 @@
         """Return the whole budget."""
         return terms.budget
 
-    def lender_limit(self, budget: int, place: int) -> int:
+    def lender_limit(self, budget: int, rank: int) -> int:
         """Return 0."""
         return 0
 
@@ -51,12 +51,14 @@
 
     def log_limit(self, terms: TurnTerms) -> int:
         """Return the part that is not lent, and one turn."""
-        return min(terms.budget, terms.budget - _lent(terms.budget) + terms.most)
+        return min(terms.budget, terms.budget - _lendable(terms.budget) + terms.most)
 
-    def lender_limit(self, budget: int, place: int) -> int:
+    def lender_limit(self, budget: int, rank: int) -> int:
         """Return the part of a place; the parts of all places add up to a quarter."""
-        return int(_lent(budget) * (1 - NEXT_SHARE) * NEXT_SHARE**place)
+        return int(
+            _lendable(budget) * (1 - NEXT_LENDER_SHARE) * NEXT_LENDER_SHARE**rank
+        )
 
 
-def _lent(budget: int) -> int:
-    return int(budget * LENT_PART)
+def _lendable(budget: int) -> int:
+    return int(budget * LENT_SHARE)
--- a/sequoiaarch/ledger/state.py
+++ b/sequoiaarch/ledger/state.py
@@ -14,7 +14,7 @@
 log = logbook.Logger("ledger")
 
 # A chain longer than this is a loop in the records.
-MAX_CHAIN = 10_000
+MAX_CHAIN_LENGTH = 10_000
 
 
 @dataclass(kw_only=True)
@@ -27,13 +27,15 @@
 
     tokens: int
     used: int
-    seen: float
+    updated_at: float
     wanted: int = 0
-    beside: tuple[Grant, ...] | None = None
+    others: tuple[Grant, ...] | None = None
 
     def wanted_since(self, since: float) -> int:
         """Return what the writer may come to, if it was heard of lately."""
-        return max(self.tokens, self.wanted) if self.seen >= since else self.tokens
+        return (
+            max(self.tokens, self.wanted) if self.updated_at >= since else self.tokens
+        )
 
 
 @dataclass(kw_only=True)
@@ -43,7 +45,7 @@
     `exact` says that all its records were applied in order since the first.
     """
 
-    exact: bool
+    in_order: bool
     turns: set[TurnId] = field(default_factory=set)
     grants: dict[WriterId, Grant] = field(default_factory=dict)
 
@@ -100,9 +102,9 @@
             return
         program = self._programs.get(record.program)
         if program is None:
-            program = ProgramRecords(exact=ordered)
+            program = ProgramRecords(in_order=ordered)
             self._programs[record.program] = program
-        program.exact = program.exact and ordered
+        program.in_order = program.in_order and ordered
         self._program_of[key] = record.program
         if isinstance(record, TurnRecord):
             self._put_turn(program, TurnId(key), record)
@@ -131,7 +133,7 @@
         grant = self._grants(program).get(writer)
         return grant.tokens if grant is not None else 0
 
-    def wanted_others(self, program: ProgramId, since: float) -> int:
+    def wanted_by_others(self, program: ProgramId, since: float) -> int:
         """Return the tokens that all other writers were granted or may want.
 
         What their open turns want beyond their grant counts for those that
@@ -141,7 +143,7 @@
         others = (grant for name, grant in grants if name != self._writer)
         return sum(grant.wanted_since(since) for grant in others)
 
-    def wanted_beside(
+    def wanted_by_others_at_grant(
         self, program: ProgramId, writer: WriterId, since: float
     ) -> int | None:
         """Return what others wanted where a writer's newest grant stands.
@@ -149,23 +151,23 @@
         None where the records before it are not known.
         """
         grant = self._grants(program).get(writer)
-        if grant is None or grant.beside is None:
+        if grant is None or grant.others is None:
             return None
-        return sum(one.wanted_since(since) for one in grant.beside)
+        return sum(other.wanted_since(since) for other in grant.others)
 
-    def used_others(self, program: ProgramId) -> int:
+    def used_by_others(self, program: ProgramId) -> int:
         """Return the tokens that all other writers have used."""
         grants = self._grants(program).items()
         return sum(grant.used for name, grant in grants if name != self._writer)
 
-    def returning(self, program: ProgramId, since: float) -> bool:
+    def may_release(self, program: ProgramId, since: float) -> bool:
         """Return whether another writer may soon return a part of its grant.
 
         That is one that was granted more than it used, `since` or later on
         this process's clock.
         """
         return any(
-            grant.wanted_since(since) > grant.used and grant.seen >= since
+            grant.wanted_since(since) > grant.used and grant.updated_at >= since
             for name, grant in self._grants(program).items()
             if name != self._writer
         )
@@ -175,16 +177,16 @@
         now = self._clock()
         return ", ".join(
             f"{name} {grant.tokens} of which {grant.used} used, {grant.wanted} wanted "
-            f"{now - grant.seen:.1f} s ago"
+            f"{now - grant.updated_at:.1f} s ago"
             for name, grant in self._grants(program).items()
             if name != self._writer
         )
 
-    def knows_program(self, program: ProgramId) -> bool:
+    def has_program(self, program: ProgramId) -> bool:
         """Return whether a program has any record."""
         return program in self._programs
 
-    def knows(self, turn: TurnId) -> bool:
+    def has_turn(self, turn: TurnId) -> bool:
         """Return whether a turn is known."""
         return turn in self._turns
 
@@ -198,15 +200,15 @@
                 return None
             parts += (record.produced, record.given, record.base)
             current = record.parent
-            if len(parts) > 3 * MAX_CHAIN:
+            if len(parts) > 3 * MAX_CHAIN_LENGTH:
                 log.error("turn {} has an endless chain", turn)
                 return None
         parts.reverse()
         return b"".join(parts)
 
     def _grants(self, program: ProgramId) -> dict[WriterId, Grant]:
-        found = self._programs.get(program)
-        return found.grants if found is not None else {}
+        records = self._programs.get(program)
+        return records.grants if records is not None else {}
 
     def _put_turn(
         self, program: ProgramRecords, turn: TurnId, record: TurnRecord
@@ -226,27 +228,27 @@
     ) -> None:
         tokens = record.tokens
         known = program.grants.get(record.writer)
-        before = known.tokens if known is not None else 0
+        previous = known.tokens if known is not None else 0
         own = record.writer == self._writer
         if own and not ordered:
             # Whether it fitted at its place can't be told from a list; this
             # process remembers what it was granted.
             remembered = self._own_grant(record.program)
             tokens = record.tokens if remembered is None else remembered
-        elif ordered and record.tokens > before and (own or program.exact):
-            others = sum(one.tokens for one in program.grants.values()) - before
+        elif ordered and record.tokens > previous and (own or program.in_order):
+            others = sum(grant.tokens for grant in program.grants.values()) - previous
             limit = record.budget if record.limit is None else record.limit
             if others + record.tokens > limit:
                 return
         others_now = (
-            one for name, one in program.grants.items() if name != record.writer
+            grant for name, grant in program.grants.items() if name != record.writer
         )
         program.grants[record.writer] = Grant(
             tokens=tokens,
             used=record.used,
-            seen=self._clock(),
+            updated_at=self._clock(),
             wanted=record.wanted,
-            beside=tuple(others_now) if own and ordered else None,
+            others=tuple(others_now) if own and ordered else None,
         )
 
 
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -25,20 +25,20 @@
 ROUND_SECONDS = 150.0
 # A program may come back at the end of its retention, and takes a moment to
 # write its next record. Seconds.
-MARGIN = 30.0
+GRACE_PERIOD = 30.0
 # The other processes must be known before the part of this one can be drawn: a
 # process that took itself for the only one visited everything, 19 calls a
 # second in place of one. Nothing can be due that early. Seconds.
-FIRST_DRAW = 30.0
-DROPPED_AT_ONCE = 500
+START_DELAY = 30.0
+MAX_DELETES = 500
 
 
 @dataclass(kw_only=True)
-class _Seen:
+class _GroupState:
     """Hold the newest place of a group of records, and when it was first seen."""
 
-    place: Offset
-    at: float
+    offset: Offset
+    since: float
 
 
 class Sweeper:
@@ -66,31 +66,31 @@
         self._processes = processes
         self._rng = rng
         self._clock = clock
-        self._seen: dict[Partition, dict[str, _Seen]] = {}
+        self._states: dict[Partition, dict[str, _GroupState]] = {}
 
     async def run(self) -> None:
         """Visit partitions for ever."""
-        await asyncio.sleep(FIRST_DRAW)
+        await asyncio.sleep(START_DELAY)
         while True:
-            part = self.draw()
+            sample = self.sample_partitions()
             for _ in range(2):
-                for partition in part:
-                    await asyncio.sleep(ROUND_SECONDS / len(part))
+                for partition in sample:
+                    await asyncio.sleep(ROUND_SECONDS / len(sample))
                     await self.visit(partition)
 
-    def draw(self) -> list[Partition]:
+    def sample_partitions(self) -> list[Partition]:
         """Return the partitions to visit in the next two rounds."""
-        everything = self._partition_map.all
-        count = max(1, len(everything) // max(1, self._processes()))
-        self._seen.clear()
-        return self._rng.sample(everything, count)
+        partitions = self._partition_map.all_partitions
+        count = max(1, len(partitions) // max(1, self._processes()))
+        self._states.clear()
+        return self._rng.sample(partitions, count)
 
     async def visit(self, partition: Partition) -> int:
         """Drop what has ended in a partition; return how many records."""
         newest = await self._log.newest(partition)
         if isinstance(newest, Failure):
             return 0
-        keys = self._ended(partition, newest)[:DROPPED_AT_ONCE]
+        keys = self._ended(partition, newest)[:MAX_DELETES]
         if not keys:
             return 0
         records = [KeyedRecord(key=key, value=b"") for key in keys]
@@ -103,16 +103,16 @@
     def _ended(self, partition: Partition, newest: Newest) -> list[str]:
         """Return the keys of programs that have written nothing for long enough."""
         now = self._clock()
-        before = self._seen.get(partition, {})
-        seen = self._seen[partition] = {}
+        previous = self._states.get(partition, {})
+        states = self._states[partition] = {}
         ended: list[str] = []
         for group, records in _groups(newest.records).items():
-            place = max(record.offset for record in records)
-            known = before.get(group)
-            if known is None or known.place != place:
-                known = _Seen(place=place, at=now)
-            seen[group] = known
-            if known.at + _retention(records) + MARGIN < now:
+            offset = max(record.offset for record in records)
+            state = previous.get(group)
+            if state is None or state.offset != offset:
+                state = _GroupState(offset=offset, since=now)
+            states[group] = state
+            if state.since + _retention(records) + GRACE_PERIOD < now:
                 ended.extend(record.key for record in records)
         return ended
 
@@ -124,8 +124,8 @@
         decoded = decode_record(record.value)
         if decoded is None:
             continue
-        alone = isinstance(decoded, IndexRecord)
-        groups[record.key if alone else decoded.program].append(record)
+        is_index = isinstance(decoded, IndexRecord)
+        groups[record.key if is_index else decoded.program].append(record)
     return groups
 
 
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -27,7 +27,7 @@
 # A loan of less than this part of a turn's most would likely be used up before
 # the turn ends: turns generate a quarter of their most on average, and 44 % at
 # the mean of their length.
-LEAST_PART = 0.4
+MIN_LOAN_SHARE = 0.4
 # A stream that has to wait for its budget in the middle does so for as long as
 # callers bear without an event, asking again meanwhile. Seconds.
 COVER_TIMEOUT = 2.0
@@ -95,12 +95,12 @@
         self._hold = hold
         self._ledger = ledger
         self._lender = lender
-        self._handed = 0
+        self._used = 0
         # What was handed out under earlier holds.
-        self._before = 0
+        self._used_before = 0
         self._ended = False
         self._spent = ledger.spent(start.terms)
-        self._announced: asyncio.Future[Offset] | None = None
+        self._index_write: asyncio.Future[Offset] | None = None
 
     @property
     def history(self) -> History | None:
@@ -126,7 +126,7 @@
     def covered(self) -> int | None:
         """Return the tokens that may be handed out unasked; None for all."""
         covered = self._hold.covered
-        return None if covered is None else self._before + covered
+        return None if covered is None else self._used_before + covered
 
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn is granted, or borrow."""
@@ -135,21 +135,21 @@
                 verdict = await self._hold.verdict()
         except TimeoutError:
             verdict = BudgetVerdict.UNCERTAIN
-        if verdict not in LENDABLE:
+        if verdict not in LENDABLE_VERDICTS:
             return verdict
         loan = await _borrow(self._lender, self._start.terms, verdict)
         if loan is None:
             # Nobody lends: only the log can tell, however long it takes.
             return await self._hold.verdict()
-        return BudgetVerdict.FITS if self._go_on_with(loan) else verdict
+        return BudgetVerdict.FITS if self._replace_hold(loan) else verdict
 
     def covers(self, tokens: int) -> bool:
         """Return whether so many more tokens may go to the caller unasked."""
-        return self.covered is None or self._handed + tokens <= self.covered
+        return self.covered is None or self._used + tokens <= self.covered
 
     async def cover(self, tokens: int) -> bool:
         """Ask for so many more tokens; return whether they may go to the caller."""
-        return await self.cover_total(self._handed + tokens)
+        return await self.cover_total(self._used + tokens)
 
     async def cover_total(self, total: int) -> bool:
         """Return whether the turn may hand out so many tokens in all.
@@ -158,7 +158,9 @@
         loan is used up the log may be back. If neither helps, the stream waits
         for as long as its caller does.
         """
-        if await self._cover_in_time(total) or await self._cover_elsewhere(total):
+        if await self._cover_in_time(total) or await self._cover_from_other_source(
+            total
+        ):
             return True
         deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
@@ -170,26 +172,26 @@
     async def _cover_in_time(self, total: int) -> bool:
         try:
             async with asyncio.timeout(LOG_TIMEOUT):
-                return await self._hold.cover(total - self._before)
+                return await self._hold.cover(total - self._used_before)
         except TimeoutError:
             return False
 
-    async def _cover_elsewhere(self, total: int) -> bool:
+    async def _cover_from_other_source(self, total: int) -> bool:
         """Have a lender cover the rest of the turn in place of the log, or it again."""
         most = max(total, self._start.terms.most)
-        terms = self._start.terms.remainder(most - self._handed)
-        other: Hold | BudgetVerdict | None
+        terms = self._start.terms.remainder(most - self._used)
+        hold: Hold | BudgetVerdict | None
         if self._hold.from_log:
-            other = await self._lender.borrow(terms, least=total - self._handed)
+            hold = await self._lender.borrow(terms, least=total - self._used)
         else:
-            other = await self._ledger.reserve(terms)
-        if other is None or isinstance(other, BudgetVerdict):
+            hold = await self._ledger.reserve(terms)
+        if hold is None or isinstance(hold, BudgetVerdict):
             return False
-        if not self._go_on_with(other):
+        if not self._replace_hold(hold):
             return False
-        return await other.verdict() is BudgetVerdict.FITS
+        return await hold.verdict() is BudgetVerdict.FITS
 
-    def _go_on_with(self, hold: Hold) -> bool:
+    def _replace_hold(self, hold: Hold) -> bool:
         """Have another hold cover what is still to come; False if the turn ended."""
         if self._ended:
             # Nobody else would close it, and it would count as handed out; the
@@ -198,28 +200,28 @@
             return False
         self._hold.close()
         self._hold = hold
-        self._before = self._handed
+        self._used_before = self._used
         return True
 
     def write_index(self) -> None:
         """Write the program of the turn beside its run."""
-        self._announced = self._ledger.write_index(self._start.terms)
+        self._index_write = self._ledger.write_index(self._start.terms)
 
     def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
-        self._handed += tokens
+        self._used += tokens
         self._hold.record_usage(tokens)
 
     async def commit(self, given: bytes, produced: bytes) -> None:
         """Make the turn part of the history; return once that is durable."""
         content = turn_content(self._start, self._history, given, produced)
         await self.commit_content(content)
-        if self._announced is not None:
-            await self._announced
+        if self._index_write is not None:
+            await self._index_write
 
     def record_total_usage(self, total: int) -> None:
         """Count what another process has handed out in all."""
-        self.record_usage(max(0, total - self._handed))
+        self.record_usage(max(0, total - self._used))
 
     async def commit_content(self, content: TurnContent) -> None:
         """Commit what another process relayed and announced."""
@@ -270,26 +272,28 @@
 
     async def _hold(self, terms: TurnTerms) -> Hold | BudgetVerdict:
         """Have the log grant a turn, or else a lender cover it."""
-        asking = asyncio.create_task(self._ledger.reserve(terms))
+        reserving = asyncio.create_task(self._ledger.reserve(terms))
         try:
-            await asyncio.wait([asking], timeout=LOG_TIMEOUT)
-            if asking.done() and asking.result() not in LENDABLE:
-                return asking.result()
-            verdict = asking.result() if asking.done() else BudgetVerdict.UNCERTAIN
+            await asyncio.wait([reserving], timeout=LOG_TIMEOUT)
+            if reserving.done() and reserving.result() not in LENDABLE_VERDICTS:
+                return reserving.result()
+            verdict = (
+                reserving.result() if reserving.done() else BudgetVerdict.UNCERTAIN
+            )
             loan = await _borrow(self._lender, terms, verdict)
             if loan is None:
-                return await asking
+                return await reserving
         except BaseException:
             # Also a caller that leaves just as the grant arrives: the grant would
             # stay held for nobody, and later turns be refused for it.
-            _abandon(asking)
+            _cancel_reservation(reserving)
             raise
-        _abandon(asking)
+        _cancel_reservation(reserving)
         return loan
 
 
 # Verdicts of the log that don't hold for the part of a budget that is lent.
-LENDABLE = frozenset({BudgetVerdict.UNCERTAIN, BudgetVerdict.EXCEEDED})
+LENDABLE_VERDICTS = frozenset({BudgetVerdict.UNCERTAIN, BudgetVerdict.EXCEEDED})
 
 
 async def _borrow(
@@ -301,18 +305,18 @@
     an outage that is better than none; near the end of a budget it is not.
     """
     uncertain = verdict is BudgetVerdict.UNCERTAIN
-    least = int(terms.most * LEAST_PART) if uncertain else terms.most
+    least = int(terms.most * MIN_LOAN_SHARE) if uncertain else terms.most
     return await lender.borrow(terms, least=least)
 
 
-def _abandon(asking: asyncio.Task[Reservation | BudgetVerdict]) -> None:
+def _cancel_reservation(reserving: asyncio.Task[Reservation | BudgetVerdict]) -> None:
     """Give back what the log grants too late."""
-    asking.add_done_callback(_close_reserved)
-    asking.cancel()
+    reserving.add_done_callback(_close_reserved)
+    reserving.cancel()
 
 
-def _close_reserved(asked: asyncio.Task[Reservation | BudgetVerdict]) -> None:
-    reserved = None if asked.cancelled() else asked.result()
+def _close_reserved(reserving: asyncio.Task[Reservation | BudgetVerdict]) -> None:
+    reserved = None if reserving.cancelled() else reserving.result()
     if isinstance(reserved, Reservation):
         reserved.close()
 
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -360,7 +360,7 @@
         assert isinstance(hold, Reservation)
         self.assertIs(await hold.verdict(), BudgetVerdict.FITS)
         for _ in range(10):
-            self.assertTrue(await hold.cover(10 + hold._handed))
+            self.assertTrue(await hold.cover(10 + hold._used))
             hold.record_usage(10)
         state = ledger.partition(PROGRAM).state
         self.assertGreaterEqual(state.granted(PROGRAM, ledger.writer), 100)
@@ -381,8 +381,8 @@
 
         with (
             mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.6),
-            mock.patch.object(budgets_module, "RETURN_INTERVAL", 0.1),
-            mock.patch.object(ledger_module, "RETURN_INTERVAL", 0.1),
+            mock.patch.object(budgets_module, "RELEASE_INTERVAL", 0.1),
+            mock.patch.object(ledger_module, "RELEASE_INTERVAL", 0.1),
         ):
             returning = asyncio.create_task(first.run_release())
             self.addCleanup(returning.cancel)
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -10,7 +10,7 @@
 from ...fleet.claims import LENDING_LEASE, RETIRE_MARGIN, Claims, Retirement
 from ...ids import LoanId, Offset, ProgramId, TurnId
 from ...ledger import loans as loans_module
-from ...ledger.loans import FORGET_AFTER, REMEMBER_SETTLED, LoanBook
+from ...ledger.loans import FORGET_AFTER, SETTLED_RETENTION, LoanBook
 from ...ledger.split import LendingSplit, LogOnlySplit
 from ...ledger.terms import TurnTerms
 from ...storage.keyed import ListedRecord
@@ -127,12 +127,12 @@
         come soon, so only the last ones are remembered, and the very last
         always.
         """
-        with mock.patch.object(loans_module, "MOST_SETTLED", 5):
+        with mock.patch.object(loans_module, "MAX_SETTLED", 5):
             for number in range(50):
                 self.book.settle(LoanId(str(number)), PROGRAM, 0)
                 self.assertLessEqual(len(self.book._settled), 5)
         self.assertEqual(self.book.lend(LoanId("49"), terms(2000, 250), 0, LEAST), 0)
-        self.clock.now = REMEMBER_SETTLED + 1
+        self.clock.now = SETTLED_RETENTION + 1
         self.book.settle(LoanId("50"), PROGRAM, 0)
         self.book.forget_old()
         self.assertEqual(set(self.book._settled), {"50"})
@@ -144,9 +144,9 @@
         before may arrive as late after the last time as after the first.
         """
         self.book.settle(LoanId("1"), PROGRAM, 0)
-        self.clock.now = REMEMBER_SETTLED
+        self.clock.now = SETTLED_RETENTION
         self.book.settle(LoanId("1"), PROGRAM, 0)
-        self.clock.now = 2 * REMEMBER_SETTLED
+        self.clock.now = 2 * SETTLED_RETENTION
         self.book.forget_old()
         self.assertEqual(self.book.lend(LoanId("1"), terms(2000, 250), 0, LEAST), 0)
 
--- a/sequoiaarch/tests/ledger/losses_tests.py
+++ b/sequoiaarch/tests/ledger/losses_tests.py
@@ -333,8 +333,8 @@
         found.close()
         self.assertGreater(await self.held(program, first), 0)
         returning = (
-            mock.patch.object(budgets_module, "RETURN_AFTER", 0.0),
-            mock.patch.object(ledger_module, "RETURN_INTERVAL", 0.01),
+            mock.patch.object(budgets_module, "RELEASE_AFTER", 0.0),
+            mock.patch.object(ledger_module, "RELEASE_INTERVAL", 0.01),
         )
         with returning[0], returning[1]:
             task = asyncio.create_task(first.ledger.run_release())
--- a/sequoiaarch/tests/ledger/raises_tests.py
+++ b/sequoiaarch/tests/ledger/raises_tests.py
@@ -103,7 +103,7 @@
         return steps[verb](process)
 
     def _open(self, process: _Process) -> bool:
-        others = process.state.wanted_others(PROGRAM, since=0.0)
+        others = process.state.wanted_by_others(PROGRAM, since=0.0)
         if process.turn or others + process.handed + MOST > BUDGET:
             return False
         process.turn = TurnId("turn")
--- a/sequoiaarch/tests/ledger/state_tests.py
+++ b/sequoiaarch/tests/ledger/state_tests.py
@@ -48,7 +48,7 @@
         late.apply(*grant(WriterId("one"), 400), ordered=False)
         late.apply(*grant(WriterId("three"), 300))
         late.apply(*grant(WriterId("one"), 100))
-        self.assertEqual(late.wanted_others(PROGRAM, math.inf), 400)
+        self.assertEqual(late.wanted_by_others(PROGRAM, math.inf), 400)
 
     def test_late_views_never_count_less(self) -> None:
         """Count at least what the log grants, wherever a view begins."""
--- a/sequoiaarch/tests/ledger/sweeper_tests.py
+++ b/sequoiaarch/tests/ledger/sweeper_tests.py
@@ -14,13 +14,13 @@
     encode_record,
     grant_key,
 )
-from ...ledger.sweeper import MARGIN, Sweeper
+from ...ledger.sweeper import GRACE_PERIOD, Sweeper
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 
 PROGRAM = ProgramId("program")
 WRITER = WriterId("writer")
 RETENTION = 60.0
-LONG_ENOUGH = RETENTION + MARGIN + 1
+LONG_ENOUGH = RETENTION + GRACE_PERIOD + 1
 
 
 def turn() -> bytes:
@@ -114,7 +114,7 @@
                 return await super().append_at(place, records, end=end)
 
         racing = self.make_sweeper(_Racing(store=store))
-        racing._seen = self.sweeper._seen
+        racing._states = self.sweeper._states
         self.assertEqual(await racing.visit(self.partition), 0)
         self.assertEqual(self.kept(), {"t1", "t2"})
 
@@ -141,6 +141,6 @@
 
     def test_part_of_each_process(self) -> None:
         """Visit a share that makes the whole together with the other processes."""
-        part = self.sweeper.draw()
-        self.assertEqual(len(part), len(self.partition_map.all) // 4)
+        part = self.sweeper.sample_partitions()
+        self.assertEqual(len(part), len(self.partition_map.all_partitions) // 4)
         self.assertEqual(len(set(part)), len(part))
