--- a/sequoiaarch/ledger/__init__.py
+++ b/sequoiaarch/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the turns of programs and what they spent in the platform's log."""
+"""Store the turns and token budgets of programs in the shared log."""
--- a/sequoiaarch/ledger/account.py
+++ b/sequoiaarch/ledger/account.py
@@ -1,4 +1,4 @@
-"""Account for what one process may hand out of one program's budget."""
+"""Track the tokens that this process may spend on one program."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 @dataclass(kw_only=True, eq=False)
 class TurnAllocation:
-    """Hold what an open turn may still hand out, in tokens.
+    """Track the tokens of a program's budget that are set aside for an open turn.
 
-    `left` is the most that it may come to, `held` the part that the log was
-    asked to grant so far, `sure` the part that it is known to have granted.
-    `given_up` says that its caller has begun another turn of the session, which
-    needs the rest.
+    `remaining` is the most that the turn may still use, `reserved` the part of it that
+    this process requested from the log, `confirmed` the part that the log is known to
+    have granted. `superseded` is set once the caller has begun a later turn of the same
+    session.
     """
 
     remaining: int
@@ -29,23 +29,23 @@
 
     @property
     def fully_reserved(self) -> bool:
-        """Return whether all that the turn may need is held."""
+        """Return whether everything that the turn may need is reserved."""
         return self.reserved >= self.remaining
 
     @property
     def wanted(self) -> int:
-        """Return what no other turn may use."""
+        """Return the tokens that no other turn may use."""
         return self.reserved if self.superseded else self.remaining
 
 
 class Account:
-    """Hold what this process may hand out, and did, for one program.
+    """Track what this process was granted of one program's budget, and what it used.
 
-    `granted` is what the log granted, `asked` what the newest record asks for,
-    which may be less while an answer is awaited. `told` is what other processes
-    were told that open turns may come to, `told_at` when, on the loop's clock.
-    `room` is what others left free where the newest grant stands in the log; None
-    where that is not known.
+    `granted` is the confirmed grant; `requested` is the grant named by the newest
+    record, which may differ until that record is acknowledged. `published` is the
+    demand of open turns last written for other processes, at `published_at` on the
+    loop's clock. `ceiling` is the most that this process can get beside the other
+    grants, as of its newest grant in the log; None if unknown.
     """
 
     def __init__(self, *, terms: TurnTerms, partition: LedgerPartition) -> None:
@@ -61,40 +61,41 @@
         self.published_at = 0.0
         self.ceiling: int | None = None
         self.used = 0
-        # In the order in which the grant covers them. Not by the name of their turn: of
-        # two openings of one turn the end of either would return what the other holds.
+        # In the order in which the grant covers them. A list rather than a dictionary
+        # by turn: a turn that is opened twice has two allocations, released
+        # independently.
         self.open: list[TurnAllocation] = []
         self.raise_task: asyncio.Task[bool] | None = None
         self.last_used = 0.0
 
     @property
     def needed(self) -> int:
-        """Return what was handed out and what is held for open turns."""
+        """Return the tokens used so far and those reserved for open turns."""
         return self.used + sum(allocation.reserved for allocation in self.open)
 
     @property
     def wanted(self) -> int:
-        """Return what was handed out and the most that open turns may need."""
+        """Return the tokens used so far and the most that open turns may still use."""
         return self.used + sum(allocation.wanted for allocation in self.open)
 
     @property
     def up_to_date(self) -> bool:
-        """Return whether the log grants what is held, and others know the rest."""
+        """Return whether the log covers what is reserved and others know the demand."""
         return self.needed <= self.granted and self.wanted <= max(
             self.granted, self.published
         )
 
     @property
     def has_excess(self) -> bool:
-        """Return whether more than is needed is granted, asked for or left free."""
+        """Return whether more is granted, requested or published than is needed."""
         most = max(self.granted, self.requested)
         return most > self.needed or self.published > self.wanted
 
     def covers(self, allocation: TurnAllocation) -> bool:
-        """Return whether the grant covers what a turn holds and all before it.
+        """Return whether the grant covers an allocation and all before it.
 
-        What is sure for later turns may be handed out unasked: were a raise covered
-        by it, more would go out than the log grants.
+        Later allocations count with their confirmed part, which may be used at any time
+        without asking again.
         """
         total = self.used
         before = True
@@ -104,19 +105,19 @@
         return total <= self.granted
 
     def confirm(self, allocation: TurnAllocation) -> bool:
-        """Mark what a turn holds as sure if the grant covers it; return whether."""
+        """Confirm the reserved part if the grant covers it; return whether it does."""
         covered = self.covers(allocation)
         if covered:
             allocation.confirmed = allocation.reserved
         return covered
 
     def can_complete(self, allocation: TurnAllocation) -> bool:
-        """Return whether a turn can come to its most, and all before it too."""
+        """Return whether a turn, and all before it, can use their maximum."""
         wanted = self.used + sum(other.wanted for other in self._through(allocation))
         return wanted <= self.granted or self.ceiling is None or wanted <= self.ceiling
 
     def partly_reserved(self, session: SessionId) -> list[TurnAllocation]:
-        """Return the parts of a session that claim more than they hold."""
+        """Return the allocations of a session that may need more than they reserved."""
         return [
             allocation
             for allocation in self.open
@@ -126,12 +127,12 @@
         ]
 
     def move_last(self, allocation: TurnAllocation) -> None:
-        """Have the grant cover all other turns before this one."""
+        """Have the grant cover all other allocations before this one."""
         self.open.remove(allocation)
         self.open.append(allocation)
 
     def _through(self, allocation: TurnAllocation) -> Iterator[TurnAllocation]:
-        """Return the parts of a turn and of all that are covered before it."""
+        """Yield the allocations up to and including the given one."""
         for other in self.open:
             yield other
             if other is allocation:
--- a/sequoiaarch/ledger/appender.py
+++ b/sequoiaarch/ledger/appender.py
@@ -1,4 +1,4 @@
-"""Append to one partition, one append at a time."""
+"""Append records to one partition, one batch at a time."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 log = logbook.Logger("ledger")
 
-# Records that no caller waits for ride along with the next append, at the
-# latest after this time: half of the second within which a budget may count
-# an ended turn at its most. Seconds.
+# Longest delay of records that no caller waits for; they go out with the next urgent
+# record. Less than the second after which a budget may count an ended turn in full.
+# Seconds.
 MAX_BATCH_DELAY = 0.4
 MIN_RETRY_DELAY = 0.05
 MAX_RETRY_DELAY = 0.5
-# Appends that fail for longer than this mean that the store is away. Seconds.
+# After this long without a successful append the store counts as unavailable. Seconds.
 UNAVAILABLE_AFTER = 0.3
-# Bytes of records in one append, well below what one call may carry.
+# Upper bound of the record bytes in one append.
 MAX_BATCH_BYTES = 1024 * 1024
 
 
@@ -34,11 +34,11 @@
 
 
 class Appender:
-    """Write what is queued for a partition.
+    """Write queued records to a partition in order.
 
-    An append whose answer was lost is sent again with the same sequence until
-    it is answered. Nothing later is sent before, so a copy that the store
-    carries out seconds later can't replace a newer record of the same key.
+    An append without an answer is retried under the same sequence number, and nothing
+    later is sent until it is answered: a delayed duplicate can't replace a newer record
+    of the same key.
     """
 
     def __init__(
@@ -63,19 +63,19 @@
 
     @property
     def idle(self) -> bool:
-        """Return whether nothing is queued or under way."""
+        """Return whether nothing is queued or being written."""
         return self._task is None
 
     @property
     def unavailable(self) -> bool:
-        """Return whether appends have failed for so long that the store is away."""
+        """Return whether appends have failed for `UNAVAILABLE_AFTER` or longer."""
         if self._failing_since is None:
             return False
         now = asyncio.get_running_loop().time()
         return now > self._failing_since + UNAVAILABLE_AFTER
 
     def append(self, record: KeyedRecord, *, urgent: bool) -> asyncio.Future[Offset]:
-        """Queue a record; the future holds its offset once it is durable."""
+        """Queue a record; the future resolves to its offset once it is durable."""
         durable: asyncio.Future[Offset] = asyncio.get_running_loop().create_future()
         self._queue.append(_QueuedRecord(record=record, durable=durable))
         if urgent:
@@ -85,13 +85,13 @@
         return durable
 
     async def flush(self) -> None:
-        """Wait until all that is queued was written."""
+        """Wait until all queued records are written."""
         self._urgent.set()
         if self._task is not None:
             await asyncio.wait([self._task])
 
     async def close(self) -> None:
-        """Stop to write; what is still queued is lost."""
+        """Stop writing; queued records are discarded."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.wait([self._task])
@@ -139,6 +139,10 @@
                 return answer
             if self._failing_since is None:
                 self._failing_since = loop.time()
-                log.warning("append to {} fails: {}", self._partition, answer.reason)
+                log.warning(
+                    "append to {} failed and is retried: {}",
+                    self._partition,
+                    answer.reason,
+                )
             await asyncio.sleep(delay)
             delay = min(2 * delay, MAX_RETRY_DELAY)
--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -1,4 +1,4 @@
-"""Hold budgets: nothing is handed out that was not granted durably before."""
+"""Enforce budgets: no token is used before the log has durably granted it."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 log = logbook.Logger("budget")
 
-# A budget of fewer turns at their most than this is granted turn by turn.
+# Budgets that hold fewer turns of maximum size than this are granted in steps.
 SMALL_BUDGET_TURNS = 4
-# Below this share of the budget a grant is checked beside the engine's work;
-# above it, before the request is sent, so that a refusal stays true.
+# Up to this share of the budget a turn may start before its grant is known. Beyond it
+# the turn waits for the log, so that a refused turn has never run.
 EARLY_START_SHARE = 0.5
-# A program that has been still for this long here returns what it doesn't use;
-# the pauses between its turns are shorter. Seconds.
+# Idle time after which a program's unused grant is released, longer than the usual
+# pause between its turns. Seconds.
 RELEASE_AFTER = 0.8
 RELEASE_INTERVAL = 0.4
-# Another process returns its rest within this time. Seconds.
+# Time within which a live process releases what its turns left unused. Seconds.
 RELEASE_DEADLINE = 2.0
-# An account is kept for this time beyond the retention of its program: what was
-# handed out here counts if the program comes back at the last moment. Seconds.
+# Accounts outlive the retention of their program by this margin, as the program may
+# resume at the last moment. Seconds.
 FORGET_AFTER = 60.0
 
 
 class Budgets:
-    """Grant turns their part of a budget, in the order of the log.
+    """Grant tokens to turns; the order of the log decides between processes.
 
-    Nothing is granted beyond what open turns may need: a process that is lost can't
-    return it, and the program would be refused for tokens that nobody handed out.
+    No more is requested than open turns may need: what a lost process was granted can't
+    be released and counts as spent.
     """
 
     def __init__(self, *, writer: WriterId, split: BudgetSplit | None = None) -> None:
@@ -46,16 +46,16 @@
         self._accounts: dict[ProgramId, Account] = {}
 
     def knows(self, program: ProgramId) -> bool:
-        """Return whether turns of a program were admitted here."""
+        """Return whether this process has admitted turns of a program."""
         return program in self._accounts
 
     def granted(self, program: ProgramId) -> int | None:
-        """Return what this process was granted; None for an unknown program."""
+        """Return the tokens granted to this process; None for an unknown program."""
         account = self._accounts.get(program)
         return account.granted if account is not None else None
 
     def spent(self, partition: LedgerPartition, program: ProgramId) -> int:
-        """Return the tokens that a program has used, as far as is known here."""
+        """Return the tokens that a program is known here to have used."""
         account = self._accounts.get(program)
         own = account.used if account is not None else 0
         return partition.state.used_by_others(program) + own
@@ -63,11 +63,11 @@
     async def admit(
         self, partition: LedgerPartition, terms: TurnTerms
     ) -> Reservation | BudgetVerdict:
-        """Reserve the most that a turn may use, or say why not.
+        """Reserve the maximum that a turn may use, or return why that is refused.
 
-        Near the limit the answer waits for the log, since a request that was
-        refused for its budget must never have run. So does the first turn of
-        a program here: what others were granted is not known before.
+        Near the limit this waits for the log, as a turn that is refused for its budget
+        must not have run. The first turn of a program in this process waits too: the
+        grants of other processes are not known before.
         """
         if not partition.loaded and not await partition.sync():
             return BudgetVerdict.UNCERTAIN
@@ -97,49 +97,48 @@
         return self._refused(account, verdict)
 
     def release_unused(self, program: ProgramId) -> None:
-        """Return what no open turn needs, beside a record that is written anyway."""
+        """Release what no open turn needs, along with a record that is due anyway."""
         account = self._accounts.get(program)
         if account is not None:
             self._lower_grant(account)
 
     def raise_grant(self, account: Account) -> None:
-        """Ask for a larger grant, after one that is under way."""
+        """Request a larger grant, after the request that is under way."""
         account.raise_task = asyncio.create_task(
             self._raise_after(account, account.raise_task)
         )
 
     def has_free(self, account: Account, tokens: int) -> bool:
-        """Return whether so much is free beside what all turns may come to."""
+        """Return whether that many tokens are free beyond the demand of all turns."""
         return (
             self._wanted_by_others(account) + account.wanted + tokens <= account.limit
         )
 
     def turn_ended(self, account: Account, *, unused: bool) -> None:
-        """Return at once what an ended turn leaves, where it may be missing.
+        """Release at once what an ended turn left unused, if the budget is scarce.
 
-        What a process has not returned when it is lost counts as spent for
-        good: a program that comes back later would be refused although its budget
-        holds several more turns. An unused turn most likely runs elsewhere and
-        waits there for what it held here.
+        If this process is lost before it releases them, the tokens count as spent and
+        the program may be refused although its budget holds several more turns.
+        `unused` says that the turn used none, as most likely it runs on another
+        process, which waits for these tokens.
         """
         if account.raise_task is None and not account.up_to_date:
             self.raise_grant(account)
         elif self._is_scarce(account):
-            # Also while an answer is awaited, as the process may be lost before it
-            # comes: all that it had asked for would count as spent.
+            # Even while a request is pending: if the process is lost before the answer,
+            # everything it requested counts as spent.
             self._lower_grant(account, urgent=unused)
 
     def release_all(self) -> None:
-        """Return all that no open turn needs, as the process is to end.
+        """Release everything that no open turn needs, before a planned stop.
 
-        What is not returned counts as spent by whoever follows: after a
-        planned restart programs would be refused that have used little.
+        What is not released counts as spent for the processes that remain.
         """
         for account in self._accounts.values():
             self._lower_grant(account)
 
     def release_idle(self) -> None:
-        """Return what still programs don't use, and forget those long ended."""
+        """Release what idle programs don't use, and forget programs that ended."""
         now = asyncio.get_running_loop().time()
         for program, account in list(self._accounts.items()):
             if account.raise_task is not None:
@@ -147,8 +146,8 @@
             if account.open:
                 self._refresh(account, now)
             elif account.has_excess:
-                # Also what was asked for and never read: the log may have granted
-                # it, and others would refuse turns for it.
+                # Includes requests whose answer was never read: the log may have
+                # granted them, and other processes would refuse turns for it.
                 idle = account.last_used + RELEASE_AFTER < now
                 if (
                     idle or self._is_scarce(account)
@@ -158,10 +157,11 @@
                 del self._accounts[program]
 
     def _refresh(self, account: Account, now: float) -> None:
-        """Tell the others again what open turns may come to, while they run.
+        """Publish the demand of open turns again while they run.
 
-        They leave it free for two seconds. A turn that waits for longer at a full
-        engine would find the rest of its budget taken, and be cut.
+        Other processes ignore a demand that is older than `RELEASE_DEADLINE`. Without
+        the refresh, a turn queued at a busy engine would lose the rest of its budget
+        and be cut off.
         """
         partly = account.wanted > account.granted
         due = account.published_at + RELEASE_DEADLINE / 2 < now
@@ -169,14 +169,14 @@
             self._write(account, account.granted, urgent=False)
 
     def _lower_grant(self, account: Account, *, urgent: bool = False) -> None:
-        """Ask for no more than is needed, also while an answer is awaited."""
+        """Reduce the grant to what is needed, even while a request is pending."""
         if account.has_excess:
             requested = min(max(account.granted, account.requested), account.needed)
             account.granted = min(account.granted, requested)
             self._write(account, requested, urgent=urgent)
 
     def _is_scarce(self, account: Account) -> bool:
-        """Return whether what is held ahead may be missing elsewhere."""
+        """Return whether unused grants may be needed by other processes."""
         if _is_small(account):
             return True
         own = max(account.granted, account.published)
@@ -185,9 +185,10 @@
         )
 
     def _wanted_by_others(self, account: Account) -> int:
-        """Return what others were granted, and what their open turns may need.
+        """Return what others were granted, plus the recent demand of their turns.
 
-        A process that was lost a while ago needs nothing more.
+        The demand of a process that has not written lately is left out, as it may be
+        lost.
         """
         state = account.partition.state
         return state.wanted_by_others(account.program, state.now() - RELEASE_DEADLINE)
@@ -197,7 +198,8 @@
         if account is None:
             account = Account(terms=terms, partition=partition)
             self._accounts[terms.program] = account
-            # Forgotten here a while ago: what was handed out then still counts.
+            # The account was dropped and its program came back: count its whole earlier
+            # grant as used.
             account.used = partition.state.granted(terms.program, self._writer)
             account.granted = account.requested = account.used
         account.budget = terms.budget
@@ -219,12 +221,11 @@
     async def _check_fit(
         self, account: Account, terms: TurnTerms
     ) -> BudgetVerdict | None:
-        """Return why a turn can't be granted, as the log stands.
+        """Return why a turn can't be granted, or None if it can.
 
-        Where little is left the log is read first. What a process asks for by an
-        old view is granted as a part, found to be too much, and taken back. A
-        program that loops through several processes would do so all the time, and
-        turns that never begin would take the parts that its running turns need.
+        Near the limit the log is read first. A request based on an outdated view would
+        be written, found too large and withdrawn; a program that retries in a loop on
+        several processes would keep blocking the grants of its own running turns.
         """
         if account.partition.unavailable:
             return BudgetVerdict.UNCERTAIN
@@ -240,12 +241,11 @@
         return self._shortage_verdict(account, terms)
 
     def _shortage_verdict(self, account: Account, terms: TurnTerms) -> BudgetVerdict:
-        """Return whether the budget is spent, or held for a moment.
+        """Return whether the budget is spent, or only held for a moment.
 
-        Open turns return most of what they hold: a program with four
-        sub-agents at once would be told that its budget is spent, which ends
-        it, with a third of it used. One that loops must be told at once: its
-        turns never end, and each would be tried again and again.
+        Open turns release most of their reservation, so a program with parallel
+        sub-agents must not be told that its budget is spent. A budget that is really
+        spent must be reported as such, or the caller would retry without end.
         """
         state = account.partition.state
         total = state.used_by_others(account.program) + account.used
@@ -253,13 +253,13 @@
             return BudgetVerdict.EXCEEDED
         releasing = state.may_release(account.program, state.now() - RELEASE_DEADLINE)
         open_here = any(allocation.remaining for allocation in account.open)
-        # What was in the way of a grant may be gone by the time that it is read.
+        # The conflicting grant may have been released by the time this is read.
         fits_now = self._fits(account, terms)
         temporary = releasing or open_here or fits_now
         return BudgetVerdict.HELD if temporary else BudgetVerdict.EXCEEDED
 
     def _refused(self, account: Account, verdict: BudgetVerdict) -> BudgetVerdict:
-        """Log what was counted against a refused turn, and return its verdict."""
+        """Log what was counted against a refused turn, and return the verdict."""
         log.info(
             "a turn of {} is refused, its budget of {} is {}: {} handed out and {} "
             "wanted here, granted to others: {}",
@@ -273,32 +273,32 @@
         return verdict
 
     def _may_start_early(self, account: Account, terms: TurnTerms) -> bool:
-        """Return whether a turn may begin before its grant is known."""
+        """Return whether a turn may start before its grant is known."""
         after = self._wanted_by_others(account) + account.wanted + terms.most
         return after <= terms.budget * EARLY_START_SHARE
 
     def _may_reserve_fully(self, account: Account, terms: TurnTerms) -> bool:
-        """Return whether a turn may hold its most from its beginning."""
+        """Return whether a turn may reserve its maximum when it starts."""
         return self._may_start_early(account, terms) and not _is_small(account)
 
     def _fits(self, account: Account, terms: TurnTerms) -> bool:
         return self.has_free(account, terms.most)
 
     def _fits_superseding(self, account: Account, terms: TurnTerms) -> bool:
-        """Return whether a turn fits in place of earlier ones of its session."""
+        """Return whether a turn fits if it replaces earlier ones of its session."""
         freed = _unreserved(account.partly_reserved(terms.session))
         return self.has_free(account, terms.most - freed)
 
     def _supersede_earlier(self, account: Account, terms: TurnTerms) -> None:
-        """Have the earlier turns of a session claim no more than they hold.
+        """Limit the earlier turns of a session to what they have reserved.
 
-        Whoever has them may be lost: their caller would be refused for what nobody
-        is to use. What they hold may have been handed out, so it stays theirs.
+        Their process may be lost, and their caller has moved on. The reserved part may
+        already have been used, so it is not taken back.
         """
         earlier = account.partly_reserved(terms.session)
         log.info(
-            "turn {} of {} takes the place of earlier ones of its session, which "
-            "leave {} tokens",
+            "turn {} of {} supersedes earlier turns of its session, which frees {} "
+            "tokens",
             terms.turn,
             account.program,
             _unreserved(earlier),
@@ -309,7 +309,7 @@
     async def _raise_after(
         self, account: Account, before: asyncio.Task[bool] | None
     ) -> bool:
-        """Write a grant and read whether it holds; False if that is unknown."""
+        """Raise the grant once `before` is done; return False if the result is open."""
         own = asyncio.current_task()
         try:
             if before is not None:
@@ -318,7 +318,7 @@
         finally:
             if account.raise_task is own:
                 account.raise_task = None
-        # Turns that ended meanwhile returned nothing.
+        # Turns that ended in the meantime have not released their rest.
         if (
             account.raise_task is None
             and account.up_to_date
@@ -337,18 +337,18 @@
             if not await partition.sync():
                 return False
         state = partition.state
-        # Less may have been asked for meanwhile, which counts at its place.
+        # A smaller grant may have been requested since; its record follows this one.
         tokens = min(tokens, account.requested)
         if state.granted(account.program, self._writer) >= tokens:
             account.granted = tokens
             self._update_ceiling(account)
             return True
-        # The newest record names more than is valid: put that right.
+        # The newest record names more than was granted: write the valid amount.
         self._write(account, account.granted, urgent=False)
         return True
 
     def _update_ceiling(self, account: Account) -> None:
-        """Keep what others left free where the newest grant stands in the log."""
+        """Store what the other grants left free at the newest grant's position."""
         state = account.partition.state
         since = state.now() - RELEASE_DEADLINE
         beside = state.wanted_by_others_at_grant(account.program, self._writer, since)
@@ -376,7 +376,7 @@
 
 
 def _unreserved(allocations: list[TurnAllocation]) -> int:
-    """Return what parts may come to beyond what they hold."""
+    """Return what allocations may use beyond their reserved part."""
     return sum(allocation.remaining - allocation.reserved for allocation in allocations)
 
 
--- a/sequoiaarch/ledger/holds.py
+++ b/sequoiaarch/ledger/holds.py
@@ -1,4 +1,4 @@
-"""Say what a turn needs of whoever covers its tokens."""
+"""Define the interface of token holds and of lenders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Hold(Protocol):
-    """Hold the part of a budget that one turn may use."""
+    """A part of a program's budget that is set aside for one turn."""
 
     @property
     def terms(self) -> TurnTerms:
@@ -16,38 +16,38 @@
 
     @property
     def from_log(self) -> bool:
-        """Return whether the log grants it; else a lender covers it."""
+        """Return True if the log granted it, False if a lender did."""
 
     @property
     def granted(self) -> bool:
-        """Return whether the verdict is known to be good without waiting."""
+        """Return whether the turn is already known to fit."""
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be handed out unasked; None for all."""
+        """Return the tokens that may be used without asking; None for all."""
 
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn may begin."""
 
     async def cover(self, total: int) -> bool:
-        """Return whether the turn may hand out so many tokens in all."""
+        """Return whether the turn may use `total` tokens, requesting more if needed."""
 
     def record_usage(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
+        """Count tokens that were sent to the caller."""
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Release what the turn did not use; further calls do nothing."""
 
 
 class Lender(Protocol):
     """Cover turns that the log can't grant at present."""
 
     async def borrow(self, terms: TurnTerms, *, least: int) -> Hold | None:
-        """Return a loan of `least` tokens or more; None where there is none."""
+        """Return a loan of at least `least` tokens; None if there is none."""
 
 
 class NoLender:
-    """Lend nothing."""
+    """Lender for deployments without lending."""
 
     async def borrow(self, terms: TurnTerms, *, least: int) -> Hold | None:
         """Return None."""
--- a/sequoiaarch/ledger/index.py
+++ b/sequoiaarch/ledger/index.py
@@ -1,4 +1,4 @@
-"""Tell the program of a turn that another program continues."""
+"""Index turns by the program that they belong to."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 
 class TurnIndex:
-    """Keep the program of each turn; turns stand with their programs.
+    """Store the program of each turn.
 
-    Without it a turn of an unknown program could only be found, or shown not
-    to exist, by reading the whole store.
+    Turns are stored with their program. If a program continues a turn of another one,
+    the index tells which partition to read; without it the whole store would have to be
+    searched.
     """
 
     def __init__(
@@ -30,7 +31,7 @@
     def put(
         self, turn: TurnId, program: ProgramId, retention: float
     ) -> asyncio.Future[Offset]:
-        """Write the program of a turn; the future is done once it is durable."""
+        """Write the program of a turn; the future resolves once it is durable."""
         partition = self._partition_map.of_turn(turn)
         appender = self._appenders.get(partition)
         if appender is None:
@@ -42,7 +43,7 @@
         return appender.append(keyed, urgent=True)
 
     async def find(self, turn: TurnId) -> ProgramId | None | Failure:
-        """Return the program of a turn, None if there is no such turn."""
+        """Return the program of a turn; None if there is no such turn."""
         newest = await self._log.newest(self._partition_map.of_turn(turn))
         if isinstance(newest, Failure):
             return newest
@@ -53,13 +54,13 @@
         return None
 
     async def flush(self) -> None:
-        """Write all that is queued."""
+        """Wait until all queued records are written."""
         await asyncio.gather(
             *(appender.flush() for appender in self._appenders.values())
         )
 
     async def close(self) -> None:
-        """Stop to write."""
+        """Stop writing; queued records are discarded."""
         await asyncio.gather(
             *(appender.close() for appender in self._appenders.values())
         )
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -1,4 +1,4 @@
-"""Find histories, hold budgets and commit turns."""
+"""Look up histories, reserve budgets and commit turns."""
 
 from __future__ import annotations
 
@@ -23,24 +23,22 @@
 
 log = logbook.Logger("ledger")
 
-# Turns that were read or written stay in memory up to so many bytes; what
-# yields is read again from the store. A tenth of the smallest host's memory.
+# Memory for cached turns; evicted ones are read again from the store. Bytes.
 DEFAULT_TURN_BYTES = 12 * 1024 * 1024
 TRIM_INTERVAL = 1.0
-# A partition in use stays as it is: its open turns would have to read it again.
+# Partitions used more recently than this are not trimmed, as their open turns would
+# have to read them again. Seconds.
 MIN_IDLE_TIME = 5.0
-# A partition is forgotten when it was not used for longer than a program may
-# pause. Seconds.
+# Partitions unused for longer than a program may pause are dropped. Seconds.
 FORGET_AFTER = 300.0
 
 
 class Ledger:
-    """Keep the turns of all programs in the log, with no owner for any.
+    """Store the turns of all programs in the shared log, without owners.
 
-    Every process may write any turn. What counts is decided by the order of
-    the records, so nothing has to be claimed or taken over when a process
-    dies, freezes or is cut off. Nothing is read at the start either: a process
-    reads the records of a program when it first meets the program.
+    Any process may write any turn; conflicts are decided by the order of the records.
+    Nothing has to be taken over when a process dies, hangs or is cut off. A process
+    reads the records of a program only when it first needs them.
     """
 
     def __init__(
@@ -58,17 +56,17 @@
         self._turn_bytes = turn_bytes
         self._budgets = Budgets(writer=self.writer, split=split)
         self._index = TurnIndex(log=log, partition_map=partition_map, writer=writer)
-        # The partition used last stands at the end.
+        # Ordered by last use, the most recent at the end.
         self._partitions: OrderedDict[Partition, LedgerPartition] = OrderedDict()
         self._last_used: dict[Partition, float] = {}
 
     @property
     def turns(self) -> int:
-        """Return how many turns are held in memory."""
+        """Return the number of turns held in memory."""
         return sum(partition.state.turns for partition in self._partitions.values())
 
     async def may_know_program(self, program: ProgramId) -> bool:
-        """Return whether a program has begun; True where that can't be told."""
+        """Return whether a program has records; True if the log can't be read."""
         if self._budgets.knows(program):
             return True
         partition = self.partition(program)
@@ -81,9 +79,8 @@
     ) -> History | LookupFailure:
         """Return the prompt up to a turn.
 
-        A turn that was answered through another process a moment ago stands
-        in the log but may not have been read here. Only a read that starts
-        now and reaches the end proves that there is no such turn.
+        The turn may have been committed by another process a moment ago, so its absence
+        is reported only after a read that began now and reached the end of the log.
         """
         found = await self._history_in(program, turn)
         if isinstance(found, bytes):
@@ -99,29 +96,28 @@
         return History(prompt=found, own=False) if isinstance(found, bytes) else found
 
     async def reserve(self, terms: TurnTerms) -> Reservation | BudgetVerdict:
-        """Reserve the most that a turn may use, or say why not."""
+        """Reserve the maximum that a turn may use, or return why that is refused."""
         return await self._budgets.admit(self.partition(terms.program), terms)
 
     def spent(self, terms: TurnTerms) -> int:
-        """Return the tokens that a program has used, as far as is known here."""
+        """Return the tokens that a program is known here to have used."""
         return self._budgets.spent(self.partition(terms.program), terms.program)
 
     def write_index(self, terms: TurnTerms) -> asyncio.Future[Offset]:
-        """Write the program of a turn beside the turn; await it before its end."""
+        """Write the index record of a turn; await the result before the turn ends."""
         return self._index.put(terms.turn, terms.program, terms.retention)
 
     async def commit(self, hold: Hold, content: TurnContent) -> None:
-        """Make a turn part of the history; return once that is durable.
+        """Append a turn to the history; return once it is durable.
 
-        What the turn leaves of its budget is returned with it, in the same
-        append.
+        The unused part of its reservation is released in the same append.
         """
         hold.close()
         self._budgets.release_unused(hold.terms.program)
         await self.write(hold.terms, content)
 
     async def write(self, terms: TurnTerms, content: TurnContent) -> None:
-        """Write a turn; any process may, and any number of times."""
+        """Write a turn; any process may do so, repeatedly."""
         record = TurnRecord(
             program=terms.program,
             retention=terms.retention,
@@ -134,7 +130,7 @@
         await self.partition(terms.program).append(keyed, urgent=True)
 
     async def flush(self) -> None:
-        """Write all that is queued, and return what open turns don't need."""
+        """Write all queued records, and release what open turns don't need."""
         self._budgets.release_all()
         await asyncio.gather(
             self._index.flush(),
@@ -142,20 +138,20 @@
         )
 
     async def close(self) -> None:
-        """Stop to write."""
+        """Stop writing; queued records are discarded."""
         await asyncio.gather(
             self._index.close(),
             *(partition.close() for partition in self._partitions.values()),
         )
 
     async def run_release(self) -> None:
-        """Return the rests of still programs, again and again."""
+        """Release the unused grants of idle programs periodically."""
         while True:
             await asyncio.sleep(RELEASE_INTERVAL)
             self._budgets.release_idle()
 
     async def run_trim(self) -> None:
-        """Keep the memory of turns bounded, again and again."""
+        """Bound the memory of cached turns periodically."""
         while True:
             await asyncio.sleep(TRIM_INTERVAL)
             self._trim()
@@ -207,7 +203,7 @@
         found = partition.state.history(turn)
         if found is not None:
             return found
-        # A turn whose chain has a gap is not absent.
+        # A known turn whose earlier turns are incomplete is not absent.
         if complete and not partition.state.has_turn(turn):
             return LookupFailure.ABSENT
         return LookupFailure.UNCERTAIN
--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -1,4 +1,4 @@
-"""Account for the tokens that this process lends to turns."""
+"""Track the tokens that this process lends to turns."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from .split import BudgetSplit
 from .terms import TurnTerms
 
-# Loans are remembered for this time beyond the retention of their program: one
-# that is forgotten while its program may come back could be lent again. Seconds.
+# Accounts outlive the retention of their program by this margin: the tokens of a
+# program that resumes must not be lent twice. Seconds.
 FORGET_AFTER = 60.0
-# A request that comes after its loan was settled may be as late as this, since a
-# connection that is cut holds and repeats it. Seconds.
+# How long settled loans are remembered, to reject delayed duplicates of their requests.
+# Seconds.
 SETTLED_RETENTION = 120.0
-# With more settled loans the oldest are forgotten.
+# Beyond this number the oldest settled loans are forgotten.
 MAX_SETTLED = 20_000
 
 
 @dataclass(kw_only=True)
 class _Account:
-    """Hold what was lent to one program; `open` holds loans not yet settled."""
+    """Tokens lent to one program; `open` maps unsettled loans to their size."""
 
     retention: float
     last_used: float
@@ -31,17 +31,16 @@
 
     @property
     def lent(self) -> int:
-        """Return what may have been settled out."""
+        """Return the tokens used by settled loans and those of open loans."""
         return self.settled + sum(self.open.values())
 
 
 class LoanBook:
-    """Lend tokens of programs without asking the log.
+    """Lend tokens of programs without access to the log.
 
-    Each lender of a program has a part of the budget that nobody else hands
-    out, so nothing has to be agreed on: not with the log, which may be away,
-    nor with earlier lenders, which may be dead, frozen or cut off. What is
-    not settled counts as handed out.
+    Each lender of a program owns a disjoint part of its budget, so no agreement is
+    needed: neither with the log, which may be unavailable, nor with earlier lenders,
+    which may be dead, hung or cut off. An unsettled loan counts as fully used.
     """
 
     def __init__(
@@ -55,18 +54,18 @@
         self._carried = carried
         self._clock = clock
         self._accounts: dict[ProgramId, _Account] = {}
-        # When each loan was settled, the oldest first.
+        # Time at which each loan was settled, oldest first.
         self._settled: dict[LoanId, float] = {}
         self.lent = 0
         self.refused = 0
 
     def lend(self, loan: LoanId, terms: TurnTerms, rank: int, least: int) -> int:
-        """Return how many tokens a loan has now, 0 where fewer than `least` are left.
+        """Return the tokens of a loan, 0 if fewer than `least` are available.
 
-        Asked again for the same loan, it is raised to what the turn may need.
+        A repeated request for the same loan raises it to what the turn may need.
         """
-        # A request that comes after its settlement would open a loan that nobody
-        # closes. Its borrower has left, so a refusal takes nothing from anyone.
+        # A request that arrives after its settlement would open a loan that nobody
+        # closes. Its borrower has gone, so the refusal harms no one.
         if loan in self._settled:
             self.refused += 1
             return 0
@@ -82,13 +81,13 @@
         return amount
 
     def available(self, program: ProgramId, budget: int, rank: int) -> int:
-        """Return the tokens of a budget that are not lent yet."""
+        """Return the tokens of a budget that this lender can still lend."""
         account = self._accounts.get(program)
         lent = account.lent if account is not None else 0
         return self._split.lender_limit(budget, rank) - lent - self._carried(program)
 
     def totals(self) -> dict[ProgramId, int]:
-        """Return what was lent of each program."""
+        """Return the tokens lent, by program."""
         return {
             program: account.lent
             for program, account in self._accounts.items()
@@ -96,7 +95,7 @@
         }
 
     def settle(self, loan: LoanId, program: ProgramId, used: int) -> None:
-        """Count what a loan's turn handed out; the rest can be lent again."""
+        """Record what a loan's turn used; the rest can be lent again."""
         self._remember_settled(loan)
         account = self._accounts.get(program)
         if account is None or account.open.pop(loan, None) is None:
@@ -105,7 +104,7 @@
         account.last_used = self._clock()
 
     def forget_old(self) -> None:
-        """Forget programs that can no longer come back, and loans long settled."""
+        """Forget programs that can no longer resume, and loans settled long ago."""
         now = self._clock()
         self._forget_settled(now)
         for program, account in list(self._accounts.items()):
--- a/sequoiaarch/ledger/partition.py
+++ b/sequoiaarch/ledger/partition.py
@@ -1,4 +1,4 @@
-"""Follow the records of some programs and write to them."""
+"""Read the records of one partition and append to it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LedgerPartition:
-    """Hold one partition as far as it was read, which happens only when needed."""
+    """View of one partition that is read only when it is needed."""
 
     def __init__(
         self,
@@ -40,40 +40,40 @@
 
     @property
     def loaded(self) -> bool:
-        """Return whether the partition was read at all."""
+        """Return whether the partition has been read at all."""
         return self._cursor is not None
 
     @property
     def cursor(self) -> Offset:
-        """Return the offset up to which records were applied."""
+        """Return the offset of the next record to apply, -1 before the first read."""
         return self._cursor if self._cursor is not None else Offset(-1)
 
     @property
     def unavailable(self) -> bool:
-        """Return whether appends have failed for so long that the store is away."""
+        """Return whether the store counts as down, as appends keep failing."""
         return self._appender.unavailable
 
     @property
     def idle(self) -> bool:
-        """Return whether nothing is being read or written."""
+        """Return whether no read or write is under way."""
         return self._appender.idle and self._reading is None and self._next_read is None
 
     async def sync(self) -> bool:
-        """Apply all that stood in the log when called; False if it can't be read."""
+        """Apply all records up to the present end; return False if that fails."""
         if self._next_read is None:
             self._next_read = asyncio.create_task(self._read_after(self._reading))
         return await asyncio.shield(self._next_read)
 
     def append(self, record: KeyedRecord, *, urgent: bool) -> asyncio.Future[Offset]:
-        """Queue a record; the future holds its offset once it is durable."""
+        """Queue a record; the future resolves to its offset once it is durable."""
         return self._appender.append(record, urgent=urgent)
 
     async def flush(self) -> None:
-        """Wait until all that is queued was written."""
+        """Wait until all queued records are written."""
         await self._appender.flush()
 
     async def close(self) -> None:
-        """Stop to write; what is still queued is lost."""
+        """Stop writing; queued records are discarded."""
         await self._appender.close()
 
     def drop_turns(self) -> None:
@@ -82,14 +82,14 @@
         self._cursor = None
 
     def forget(self) -> None:
-        """Free all memory; the appender stays, whose sequence must go on."""
+        """Free all memory; the appender stays, as its sequence must continue."""
         self.state = self._make_state()
         self._cursor = None
 
     def _apply_own(self, offset: Offset, records: list[KeyedRecord]) -> None:
-        """Apply own records at once where nothing of others stands before them.
+        """Apply own records at once if no unread records precede them.
 
-        A turn then needs no read to learn whether its grant holds.
+        This saves the read that would otherwise tell whether a grant is valid.
         """
         if self._cursor != offset:
             return
@@ -131,7 +131,7 @@
                 return True
 
     def _apply(self, start: Offset, records: list[KeyedRecord]) -> None:
-        """Apply records from an offset on, less those applied meanwhile."""
+        """Apply records from offset `start`, skipping those already applied."""
         if self._cursor is None:
             return
         for offset, record in enumerate(records, start):
--- a/sequoiaarch/ledger/partition_map.py
+++ b/sequoiaarch/ledger/partition_map.py
@@ -1,4 +1,4 @@
-"""Spread the records of programs over the partitions of several topics."""
+"""Map programs and turns to partitions of the log."""
 
 from __future__ import annotations
 
@@ -7,17 +7,15 @@
 from ..ids import ProgramId, TurnId
 from ..storage.keyed import Partition
 
-# A process that first meets a program reads the program's whole partition. With
-# 960 of them that is two or three programs, 10 to 40 KB; with four it was the
-# whole store, 60 MB for each of 38 processes after a power loss, and none of
-# them served again within 16 s. The store takes 100 topics at most.
+# The first use of a program in a process reads its whole partition, so partitions are
+# many and small. The store takes 100 topics at most.
 LEDGER_TOPICS = 80
 LEDGER_PREFIX = "keyed.ledger-"
 INDEX_TOPIC = "keyed.index"
 
 
 class PartitionMap:
-    """Say where records stand; `per_topic` partitions make a topic."""
+    """Assign programs and turns to partitions by hash, `per_topic` to a topic."""
 
     def __init__(self, *, per_topic: int) -> None:
         self._per_topic = per_topic
@@ -34,7 +32,7 @@
         return self._ledger(_hash(program) % self._ledger_count)
 
     def of_turn(self, turn: TurnId) -> Partition:
-        """Return the partition that tells the program of a turn."""
+        """Return the partition of a turn's index record."""
         return self._index(_hash(turn) % self._per_topic)
 
     @property
--- a/sequoiaarch/ledger/records.py
+++ b/sequoiaarch/ledger/records.py
@@ -1,4 +1,4 @@
-"""Encode what the log keeps of turns and budgets."""
+"""Define and encode the records that the log stores of turns and budgets."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 class TurnRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="turn"
 ):
-    """Hold one turn of a program's history.
+    """One turn of a program's history.
 
-    `given` and `produced` are the exact bytes of its input and of its output
-    as they stand in later prompts; `retention` is in seconds. A turn without a
-    parent may have a `base`: the history of the other program that it
-    continues, whose own records go when that program has ended.
+    `given` and `produced` are the exact bytes of its input and output as they appear in
+    later prompts; `retention` is in seconds. A turn without a parent may have a `base`:
+    a copy of the history that it continues from another program, whose own records are
+    removed when that program ends.
     """
 
     program: ProgramId
@@ -29,14 +29,13 @@
 class GrantRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="grant"
 ):
-    """Grant a writer a part of a program's budget.
-
-    `tokens` is the most that the writer's turns of the program may hand out in
-    all, `used` what they had handed out when it was written, `limit` the most
-    that all grants of the program may add up to; the budget where it is unset.
-    `wanted` is what its open turns may still come to in all. Nobody depends on
-    it for what may be handed out: while the record is new others leave so much
-    free, so that no turn is cut that had room when it began.
+    """Grant of a part of a program's budget to one writer.
+
+    `tokens` is the most that the writer's turns of the program may use in total, `used`
+    what they had used when the record was written, and `limit` the bound on the sum of
+    all grants of the program, the budget if unset. `wanted` is the total that the
+    writer's open turns may reach. It grants nothing, but other writers leave that much
+    free while the record is recent, so that running turns are not cut off.
     """
 
     program: ProgramId
@@ -52,7 +51,7 @@
 class IndexRecord(
     msgspec.Struct, frozen=True, kw_only=True, array_like=True, tag="index"
 ):
-    """Name the program of a turn; `retention` is in seconds."""
+    """Program of a turn; `retention` is in seconds."""
 
     program: ProgramId
     retention: float
@@ -70,7 +69,7 @@
 
 
 def decode_record(data: bytes) -> Record | None:
-    """Return the record in the bytes; None where they hold none."""
+    """Return the decoded record; None if the bytes are not a valid record."""
     try:
         return _decoder.decode(data)
     except msgspec.DecodeError:
@@ -78,5 +77,5 @@
 
 
 def grant_key(program: ProgramId, writer: WriterId) -> str:
-    """Return the key of a writer's grant."""
+    """Return the key of a writer's grant record."""
     return f"{program}/{writer}"
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -1,4 +1,4 @@
-"""Hold the part of a budget that one turn may use, and raise it while it runs."""
+"""Reserve a part of a budget for one turn, and extend it while the turn runs."""
 
 from __future__ import annotations
 
@@ -9,35 +9,33 @@
 from .account import Account, TurnAllocation
 from .terms import BudgetVerdict, TurnTerms
 
-# Of a turn that begins where little is left of a budget so much of its most is
-# held, and again so much each time that this is nearly used up. Turns generate a
-# quarter of their most on average, so that most of them need no second call.
+# Share of a turn's maximum that is reserved at its start, and again at each extension,
+# when the budget is scarce. Turns use a quarter of their maximum on average, so most
+# need no extension.
 RESERVED_SHARE = 1 / 3
-# A wait for a grant looks so often whether the store is away meanwhile. Seconds.
+# Interval of the checks for an unavailable store while waiting for a grant. Seconds.
 STORE_CHECK_INTERVAL = 0.1
 
 
 class GrantUpdater(Protocol):
-    """Ask the log for what an account needs, and return what it does not."""
+    """Request grants for an account, and release what it does not need."""
 
     def raise_grant(self, account: Account) -> None:
-        """Ask for a larger grant."""
+        """Request a larger grant."""
 
     def has_free(self, account: Account, tokens: int) -> bool:
-        """Return whether so much is free beside what all turns may come to."""
+        """Return whether that many tokens are free beyond the demand of all turns."""
 
     def turn_ended(self, account: Account, *, unused: bool) -> None:
-        """Return what an ended turn leaves, where it may be missing."""
+        """Release what an ended turn left unused, if the budget is scarce."""
 
 
 class Reservation:
-    """Hold the part of a budget that one turn may use.
+    """Hold on a part of a budget for one turn, granted by the log.
 
-    Where much of the budget is left the whole turn is granted at once. Else a
-    part of it is, and more while the turn runs: turns generate a quarter of
-    their most on average, and what a lost process held counts as spent. Were
-    whole turns held, a power loss would have a program whose budget holds two
-    refused for good with less than one of them handed out.
+    The whole turn is reserved at once while much of the budget is left, otherwise a
+    part of it at a time. What a lost process had reserved counts as spent, so reserving
+    whole turns would exhaust a small budget after few losses.
     """
 
     def __init__(
@@ -58,22 +56,22 @@
 
     @property
     def granted(self) -> bool:
-        """Return whether the grant is known to cover what the turn holds.
+        """Return whether the grant is known to cover what the turn has reserved.
 
-        Who reads that it does may hand that out, so it is marked as sure.
+        The caller may then use that part, so it is marked as confirmed.
         """
         return self._account.confirm(self._allocation)
 
     @property
     def from_log(self) -> bool:
-        """Return True: the log grants it."""
+        """Return True, as the log granted it."""
         return True
 
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn may begin.
 
-        Others may have begun turns at the same moment that leave no room for
-        the rest of this one; it would be cut midway.
+        A turn is refused if concurrent turns leave no room for its maximum, as it would
+        be cut off midway.
         """
         verdict = await self._wait_for_grant()
         fits = verdict is BudgetVerdict.FITS
@@ -83,8 +81,9 @@
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be handed out unasked; None for all."""
-        # One that was closed may hand out no more: what it held is granted to others.
+        """Return the tokens that may be used without asking; None for all."""
+        # A closed reservation covers nothing more, as its rest may be granted to
+        # others.
         if self._closed:
             return self._used
         return (
@@ -94,7 +93,7 @@
         )
 
     async def cover(self, total: int) -> bool:
-        """Return whether the turn may hand out so many tokens in all."""
+        """Return whether the turn may use `total` tokens, requesting more if needed."""
         if self._closed:
             return False
         missing = total - self._used - self._allocation.reserved
@@ -102,15 +101,15 @@
             if self._allocation.superseded and not self._reclaim(missing):
                 return False
             self._reserve_more(self._allocation, missing)
-        # A raise that did not hold is asked for again: what was in its way may have
-        # been returned since.
+        # Retry a raise that was not granted: other writers may have released tokens
+        # since.
         covered = self._account.covers(self._allocation)
         if not covered and self._account.raise_task is None:
             self._updater.raise_grant(self._account)
         return await self._wait_for_grant() is BudgetVerdict.FITS
 
     def record_usage(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
+        """Count tokens that were sent to the caller."""
         account = self._account
         self._used += tokens
         account.used += tokens
@@ -119,7 +118,7 @@
         self._allocation.confirmed = max(0, self._allocation.confirmed - tokens)
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Release what the turn did not use; further calls do nothing."""
         if self._closed:
             return
         self._closed = True
@@ -128,9 +127,10 @@
         self._updater.turn_ended(self._account, unused=not self._used)
 
     def _reclaim(self, missing: int) -> bool:
-        """Claim what the newer turn of the session leaves free, if that is enough.
+        """Reclaim tokens that the session's newer turn leaves free, if they suffice.
 
-        Whoever has this turn lives after all. The newer one is never cut for it.
+        This turn was superseded but is still running. The newer turn is never cut off
+        for it.
         """
         allocation, account = self._allocation, self._account
         rest = max(missing, allocation.remaining - allocation.reserved)
@@ -141,10 +141,10 @@
         return True
 
     def _reserve_more(self, allocation: TurnAllocation, missing: int) -> None:
-        """Hold a further part of the turn, which is `short` tokens at least.
+        """Reserve a further part of the turn, at least `missing` tokens.
 
-        A turn may come to more than its caller announced, or none was: it then
-        holds as much again as it came to, so that few calls are needed.
+        A turn may exceed its announced maximum, or have none. It then reserves as much
+        again as it has used, so that few requests are needed.
         """
         step = (
             missing
@@ -161,10 +161,10 @@
         allocation.remaining = max(allocation.remaining, allocation.reserved)
 
     async def _wait_for_grant(self) -> BudgetVerdict:
-        """Wait until it is known whether what the turn holds is granted.
+        """Wait until it is known whether the log grants what the turn has reserved.
 
-        While the store is away the answer could come after the caller has
-        left, so it is given as unknown.
+        The result is uncertain as soon as the store is unavailable, as its answer could
+        come after the caller has left.
         """
         account = self._account
         while not account.confirm(self._allocation):
@@ -179,5 +179,5 @@
 
 
 def initial_share(most: int) -> int:
-    """Return what is held for a turn that begins where little is left."""
+    """Return the tokens reserved at the start of a turn when the budget is scarce."""
     return math.ceil(most * RESERVED_SHARE)
--- a/sequoiaarch/ledger/split.py
+++ b/sequoiaarch/ledger/split.py
@@ -6,30 +6,27 @@
 
 from .terms import TurnTerms
 
-# This part of a budget is never granted in the log, so that it can be lent while
-# the log can't be reached. Programs use 13 % of their budget in the median and
-# 36 % at most (99 in 100 of 919 programs of a simulated half minute). What lost
-# lenders had counts as spent for minutes: with a half, a program of eight turns
-# that had used an eighth was refused after a crash of all processes.
+# Share of a budget that is kept for lenders, so that turns can go on while the log is
+# unavailable. The part of a lost lender counts as spent for minutes, so a larger share
+# would refuse programs after a crash.
 LENT_SHARE = 0.25
-# Lenders of one program that follow each other get this share of what the one
-# before had: three quarters of the lent part go to the first, and whoever comes
-# later takes nothing from those before, dead or alive.
+# Each further lender of a program gets this share of the part of the one before. The
+# parts are disjoint, so a new lender needs nothing from earlier ones.
 NEXT_LENDER_SHARE = 0.25
 
 
 class BudgetSplit(Protocol):
-    """Say how much of a budget may be had where."""
+    """Define how much of a budget the log and each lender may grant."""
 
     def log_limit(self, terms: TurnTerms) -> int:
-        """Return the tokens that all grants in the log may add up to."""
+        """Return the bound on the sum of all grants in the log, in tokens."""
 
     def lender_limit(self, budget: int, rank: int) -> int:
-        """Return the tokens that the lender at a place may lend in all."""
+        """Return the tokens that the lender of a rank, counted from 0, may lend."""
 
 
 class LogOnlySplit:
-    """Grant everything in the log; nothing is lent."""
+    """Grant the whole budget through the log; nothing is lent."""
 
     def log_limit(self, terms: TurnTerms) -> int:
         """Return the whole budget."""
@@ -41,20 +38,19 @@
 
 
 class LendingSplit:
-    """Lend a quarter of each budget, in disjoint parts for lenders by their place.
+    """Reserve a quarter of each budget for lenders, in disjoint parts by rank.
 
-    What may be handed out in all stays below the budget and one turn more,
-    which is the bound that callers are promised: the log may go one turn past
-    its part, so that a budget of up to four turns at their most is granted there
-    in full.
+    The log may exceed its part by one turn, so that small budgets are granted there in
+    full. In total at most the budget and one further turn can be used, which is the
+    bound that callers are promised.
     """
 
     def log_limit(self, terms: TurnTerms) -> int:
-        """Return the part that is not lent, and one turn."""
+        """Return the part that is not reserved for lenders, plus one turn."""
         return min(terms.budget, terms.budget - _lendable(terms.budget) + terms.most)
 
     def lender_limit(self, budget: int, rank: int) -> int:
-        """Return the part of a place; the parts of all places add up to a quarter."""
+        """Return the part of a rank; the parts of all ranks add up to a quarter."""
         return int(
             _lendable(budget) * (1 - NEXT_LENDER_SHARE) * NEXT_LENDER_SHARE**rank
         )
--- a/sequoiaarch/ledger/state.py
+++ b/sequoiaarch/ledger/state.py
@@ -1,4 +1,4 @@
-"""Fold the records of one partition into histories and budgets."""
+"""Build histories and grants from the records of one partition."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 log = logbook.Logger("ledger")
 
-# A chain longer than this is a loop in the records.
+# A longer chain of parent turns is taken for a cycle.
 MAX_CHAIN_LENGTH = 10_000
 
 
 @dataclass(kw_only=True)
 class Grant:
-    """Hold the newest valid grant of a writer; `seen` is a time of the clock.
+    """Newest valid grant of a writer; `updated_at` is on the clock of the state.
 
-    `beside` are the grants of the others where it stands in the log, kept for
-    this process's own ones.
+    `others` are the grants of the other writers at its position in the log, known only
+    for grants of this process.
     """
 
     tokens: int
@@ -32,7 +32,7 @@
     others: tuple[Grant, ...] | None = None
 
     def wanted_since(self, since: float) -> int:
-        """Return what the writer may come to, if it was heard of lately."""
+        """Return the demand of the writer; only its grant if not updated `since`."""
         return (
             max(self.tokens, self.wanted) if self.updated_at >= since else self.tokens
         )
@@ -40,9 +40,9 @@
 
 @dataclass(kw_only=True)
 class ProgramRecords:
-    """Hold the turns and grants of one program.
+    """Turns and grants of one program.
 
-    `exact` says that all its records were applied in order since the first.
+    `in_order` is set if all its records were applied in order from the first.
     """
 
     in_order: bool
@@ -51,16 +51,15 @@
 
 
 class LedgerState:
-    """Hold the turns and grants of the programs of a partition.
+    """State of all programs in one partition, derived from its records.
 
-    Every process folds the same records in the same order, so all of them
-    agree which grants fit the budget: one that doesn't fit at its place in the
-    log never counts, whoever wrote it and however late. `own_grant` tells what
-    this process knows to be granted to itself, which a list can't tell.
+    All processes apply the same records in the same order, so they agree on which
+    grants are valid: one that did not fit the budget at its position in the log never
+    counts. `own_grant` returns what this process knows to be granted to itself.
 
-    A view that began with a list counts others at least as high as the log
-    does: it takes every record of theirs for valid. It may refuse what would
-    fit; it never has a process hand out what another one was granted.
+    A state that starts from a snapshot of the newest records can't check earlier grants
+    and takes those of other writers as valid. It may refuse a turn that would fit, but
+    never uses tokens granted to another process.
     """
 
     def __init__(
@@ -80,7 +79,7 @@
 
     @property
     def turns(self) -> int:
-        """Return how many turns are known."""
+        """Return the number of turns in memory."""
         return len(self._turns)
 
     def now(self) -> float:
@@ -88,17 +87,17 @@
         return self._clock()
 
     def apply(self, key: str, value: bytes, *, ordered: bool = True) -> None:
-        """Take over one record.
+        """Apply one record.
 
-        `ordered` says that all records before it in the log were applied; a
-        list of the newest records has lost that order.
+        `ordered` says that all records before it in the log were applied; it is False
+        for a snapshot of the newest records.
         """
         if not value:
             self.remove(key)
             return
         record = decode_record(value)
         if record is None or isinstance(record, IndexRecord):
-            log.warning("record {} can't be read and is passed over", key)
+            log.warning("record {} can't be decoded and is skipped", key)
             return
         program = self._programs.get(record.program)
         if program is None:
@@ -112,7 +111,7 @@
             self._put_grant(program, record, ordered)
 
     def remove(self, key: str) -> None:
-        """Forget what stands under a key."""
+        """Remove the record of a key."""
         name = self._program_of.pop(key, None)
         if name is None:
             return
@@ -124,7 +123,7 @@
             del self._programs[name]
 
     def drop_turns(self) -> None:
-        """Free the memory of all turns; grants stay."""
+        """Free the memory of all turns; grants are kept."""
         for turn in list(self._turns):
             self.remove(turn)
 
@@ -134,10 +133,10 @@
         return grant.tokens if grant is not None else 0
 
     def wanted_by_others(self, program: ProgramId, since: float) -> int:
-        """Return the tokens that all other writers were granted or may want.
+        """Return the tokens that all other writers were granted or may need.
 
-        What their open turns want beyond their grant counts for those that
-        wrote it `since` or later on this process's clock.
+        Demand beyond a grant counts only for records applied at `since` or later on
+        this state's clock.
         """
         grants = self._grants(program).items()
         others = (grant for name, grant in grants if name != self._writer)
@@ -146,9 +145,9 @@
     def wanted_by_others_at_grant(
         self, program: ProgramId, writer: WriterId, since: float
     ) -> int | None:
-        """Return what others wanted where a writer's newest grant stands.
+        """Return the demand of the others at the position of a writer's newest grant.
 
-        None where the records before it are not known.
+        None if the records before it are not known.
         """
         grant = self._grants(program).get(writer)
         if grant is None or grant.others is None:
@@ -161,10 +160,10 @@
         return sum(grant.used for name, grant in grants if name != self._writer)
 
     def may_release(self, program: ProgramId, since: float) -> bool:
-        """Return whether another writer may soon return a part of its grant.
+        """Return whether another writer may soon release a part of its grant.
 
-        That is one that was granted more than it used, `since` or later on
-        this process's clock.
+        That is one whose demand exceeds what it used, in a record applied at `since` or
+        later.
         """
         return any(
             grant.wanted_since(since) > grant.used and grant.updated_at >= since
@@ -173,7 +172,7 @@
         )
 
     def describe_others(self, program: ProgramId) -> str:
-        """Return what each other writer was granted, as text for the log."""
+        """Describe the grants of all other writers, for a log line."""
         now = self._clock()
         return ", ".join(
             f"{name} {grant.tokens} of which {grant.used} used, {grant.wanted} wanted "
@@ -191,7 +190,7 @@
         return turn in self._turns
 
     def history(self, turn: TurnId) -> bytes | None:
-        """Return the prompt so far, oldest turn first; None if a part lacks."""
+        """Return the prompt up to a turn; None if a part of it is missing."""
         parts: list[bytes] = []
         current: TurnId | None = turn
         while current is not None:
@@ -201,7 +200,7 @@
             parts += (record.produced, record.given, record.base)
             current = record.parent
             if len(parts) > 3 * MAX_CHAIN_LENGTH:
-                log.error("turn {} has an endless chain", turn)
+                log.error("turn {} has a cycle in its chain of parent turns", turn)
                 return None
         parts.reverse()
         return b"".join(parts)
@@ -231,8 +230,8 @@
         previous = known.tokens if known is not None else 0
         own = record.writer == self._writer
         if own and not ordered:
-            # Whether it fitted at its place can't be told from a list; this
-            # process remembers what it was granted.
+            # A snapshot does not show whether the grant fitted the budget at its
+            # position; this process remembers what it was granted.
             remembered = self._own_grant(record.program)
             tokens = record.tokens if remembered is None else remembered
         elif ordered and record.tokens > previous and (own or program.in_order):
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -1,4 +1,4 @@
-"""Remove the records of programs that can no longer come back."""
+"""Remove the records of programs that can no longer resume."""
 
 from __future__ import annotations
 
@@ -19,37 +19,33 @@
 
 log = logbook.Logger("sweeper")
 
-# Every partition is seen by some process about once in this time. Records stay
-# for up to three times as long, 450 s: at 1 MB a second of new turns that is
-# what the store may hold. Seconds.
+# Interval in which each partition is visited about once by some process; ended records
+# stay for up to three intervals. Seconds.
 ROUND_SECONDS = 150.0
-# A program may come back at the end of its retention, and takes a moment to
-# write its next record. Seconds.
+# Time beyond the retention in which a resumed program writes its next record. Seconds.
 GRACE_PERIOD = 30.0
-# The other processes must be known before the part of this one can be drawn: a
-# process that took itself for the only one visited everything, 19 calls a
-# second in place of one. Nothing can be due that early. Seconds.
+# Delay of the first round, until the other processes are known: the share of this
+# process depends on their number. Seconds.
 START_DELAY = 30.0
 MAX_DELETES = 500
 
 
 @dataclass(kw_only=True)
 class _GroupState:
-    """Hold the newest place of a group of records, and when it was first seen."""
+    """Newest offset of a group of records, and the time at which it was first seen."""
 
     offset: Offset
     since: float
 
 
 class Sweeper:
-    """Look through a part of the partitions in turn.
-
-    Each process looks through a part that it draws by lot, about as much as
-    makes the whole together with the others. So nobody has to agree on who
-    does what, and what a lost process wrote is removed like all else. Clocks
-    are never compared: a program is dropped when its newest place in the log
-    was the same at two visits that lie further apart than it may pause. The
-    store drops its records only if nothing was written since the second.
+    """Remove ended programs from a random sample of the partitions.
+
+    Each process draws a sample of such a size that all processes together cover every
+    partition about once, without coordination. Clocks of different processes are never
+    compared: a program has ended if its newest offset was the same at two visits
+    further apart than its retention. The store removes the records only if nothing was
+    written after the second visit.
     """
 
     def __init__(
@@ -69,7 +65,7 @@
         self._states: dict[Partition, dict[str, _GroupState]] = {}
 
     async def run(self) -> None:
-        """Visit partitions for ever."""
+        """Visit partitions until cancelled."""
         await asyncio.sleep(START_DELAY)
         while True:
             sample = self.sample_partitions()
@@ -86,7 +82,7 @@
         return self._rng.sample(partitions, count)
 
     async def visit(self, partition: Partition) -> int:
-        """Drop what has ended in a partition; return how many records."""
+        """Remove ended programs from a partition; return the number of records."""
         newest = await self._log.newest(partition)
         if isinstance(newest, Failure):
             return 0
@@ -118,7 +114,7 @@
 
 
 def _groups(records: list[ListedRecord]) -> dict[str, list[ListedRecord]]:
-    """Return records that go together: those of a program, or one of the index."""
+    """Group records that expire together: those of a program, or one index record."""
     groups: dict[str, list[ListedRecord]] = defaultdict(list)
     for record in records:
         decoded = decode_record(record.value)
--- a/sequoiaarch/ledger/terms.py
+++ b/sequoiaarch/ledger/terms.py
@@ -1,4 +1,4 @@
-"""Hold what is asked of the ledger for a turn, and its answers."""
+"""Define the requests for turns and their outcomes."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class BudgetVerdict(Enum):
-    """Say whether a turn fits the budget."""
+    """Whether a turn fits the budget."""
 
     FITS = "fits"
     EXCEEDED = "exceeded"
@@ -19,24 +19,24 @@
 
 
 class LookupFailure(Enum):
-    """Say why there is no history."""
+    """Reason why a history was not found."""
 
     ABSENT = "no such turn"
     UNCERTAIN = "the log can't be read to its end"
 
 
 class History(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the prompt up to a turn; `own` says that it is the program's own."""
+    """Prompt up to a turn; `own` is set if it belongs to the same program."""
 
     prompt: bytes
     own: bool
 
 
 class TurnTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """Name a turn, the program it belongs to, and the most it may hand out.
+    """Identity of a turn and the most tokens that it may use.
 
-    The turns of a `session` follow each other: who begins one has given up those
-    before. It is empty where the caller names none.
+    The turns of a `session` follow each other: beginning one abandons those before. It
+    is empty if the caller names none. `retention` is in seconds.
     """
 
     turn: TurnId
@@ -47,15 +47,14 @@
     session: SessionId = SessionId("")
 
     def remainder(self, most: int) -> TurnTerms:
-        """Return the terms of what is left, which takes no other turn's place."""
+        """Return terms for the rest of the turn, which replace no other turn."""
         return msgspec.structs.replace(self, most=most, session=SessionId(""))
 
 
 class TurnStart(msgspec.Struct, frozen=True, kw_only=True):
-    """Describe a turn that begins; `kept` says that it joins the history.
+    """A turn that begins; `kept` is set if it joins the history.
 
-    It may last `lifetime` seconds; what it has not returned by then counts as
-    handed out.
+    What it has not released after `lifetime` seconds counts as used.
     """
 
     terms: TurnTerms
@@ -65,9 +64,9 @@
 
 
 class TurnContent(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the bytes that a turn adds to the history, and where it goes on from.
+    """Bytes that a turn adds to the history, and the turn that it continues.
 
-    `base` is the history of another program that the turn continues.
+    `base` is the history continued from another program.
     """
 
     parent: TurnId | None
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -1,4 +1,4 @@
-"""Open turns: find their history, reserve their tokens, commit their end."""
+"""Open turns: look up their history, reserve their tokens and commit them."""
 
 from __future__ import annotations
 
@@ -20,30 +20,28 @@
 
 TurnRefusal = LookupFailure | BudgetVerdict
 
-# A grant that takes longer than this is not waited for where a lender can cover
-# the turn: callers leave after two seconds without an event, and a store that
-# has gone silent is known to be away only after one. Seconds.
+# How long to wait for the log before asking a lender. Callers give up after two seconds
+# without an event. Seconds.
 LOG_TIMEOUT = 0.3
-# A loan of less than this part of a turn's most would likely be used up before
-# the turn ends: turns generate a quarter of their most on average, and 44 % at
-# the mean of their length.
+# Smallest useful loan, as a share of the turn's maximum; most turns would use up a
+# smaller one before they end.
 MIN_LOAN_SHARE = 0.4
-# A stream that has to wait for its budget in the middle does so for as long as
-# callers bear without an event, asking again meanwhile. Seconds.
+# How long a stream waits for more budget, about as long as callers wait for an event,
+# and the interval of its retries. Seconds.
 COVER_TIMEOUT = 2.0
 COVER_RETRY_INTERVAL = 0.25
 
 
 class OpenTurn(Protocol):
-    """Hold a turn from its reservation to its end."""
+    """A turn from its reservation to its end."""
 
     @property
     def history(self) -> History | None:
-        """Return what the turn continues; None at the start of a chain."""
+        """Return the history that the turn continues; None if it starts a new one."""
 
     @property
     def spent(self) -> int:
-        """Return the tokens that the program had used before."""
+        """Return the tokens that the program had used before the turn."""
 
     @property
     def where(self) -> str:
@@ -53,33 +51,33 @@
         """Wait until it is known whether the turn is granted."""
 
     def write_index(self) -> None:
-        """Write the program of the turn beside its run."""
+        """Start to write the index record of the turn."""
 
     def covers(self, tokens: int) -> bool:
-        """Return whether so many more tokens may go to the caller unasked."""
+        """Return whether `tokens` more may be sent to the caller without asking."""
 
     async def cover(self, tokens: int) -> bool:
-        """Ask for so many more tokens; return whether they may go to the caller."""
+        """Request `tokens` more; return whether they may be sent to the caller."""
 
     def record_usage(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
+        """Count tokens that were sent to the caller."""
 
     async def commit(self, given: bytes, produced: bytes) -> None:
-        """Make the turn part of the history; return once that is durable."""
+        """Append the turn to the history; return once it is durable."""
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Release what the turn did not use; further calls do nothing."""
 
 
 class Turns(Protocol):
-    """Open the turns of programs."""
+    """Open turns of programs, locally or through another process."""
 
     async def open(self, start: TurnStart) -> OpenTurn | TurnRefusal:
-        """Reserve a turn and find its history, or say why not."""
+        """Reserve a turn and look up its history, or return why that is refused."""
 
 
 class LocalTurn:
-    """Hold a turn whose account this process keeps."""
+    """A turn whose budget account is kept by this process."""
 
     def __init__(
         self,
@@ -96,7 +94,7 @@
         self._ledger = ledger
         self._lender = lender
         self._used = 0
-        # What was handed out under earlier holds.
+        # Tokens used under earlier holds.
         self._used_before = 0
         self._ended = False
         self._spent = ledger.spent(start.terms)
@@ -104,12 +102,12 @@
 
     @property
     def history(self) -> History | None:
-        """Return what the turn continues; None at the start of a chain."""
+        """Return the history that the turn continues; None if it starts a new one."""
         return self._history
 
     @property
     def spent(self) -> int:
-        """Return the tokens that the program had used before."""
+        """Return the tokens that the program had used before the turn."""
         return self._spent
 
     @property
@@ -119,17 +117,17 @@
 
     @property
     def granted(self) -> bool:
-        """Return whether the verdict is known to be good without waiting."""
+        """Return whether the turn is already known to fit."""
         return self._hold.granted
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be handed out unasked; None for all."""
+        """Return the tokens that may be used without asking; None for all."""
         covered = self._hold.covered
         return None if covered is None else self._used_before + covered
 
     async def verdict(self) -> BudgetVerdict:
-        """Wait until it is known whether the turn is granted, or borrow."""
+        """Wait until it is known whether the turn is granted; borrow if it is late."""
         try:
             async with asyncio.timeout(LOG_TIMEOUT):
                 verdict = await self._hold.verdict()
@@ -139,24 +137,24 @@
             return verdict
         loan = await _borrow(self._lender, self._start.terms, verdict)
         if loan is None:
-            # Nobody lends: only the log can tell, however long it takes.
+            # No lender can help, so wait for the log.
             return await self._hold.verdict()
         return BudgetVerdict.FITS if self._replace_hold(loan) else verdict
 
     def covers(self, tokens: int) -> bool:
-        """Return whether so many more tokens may go to the caller unasked."""
+        """Return whether `tokens` more may be sent to the caller without asking."""
         return self.covered is None or self._used + tokens <= self.covered
 
     async def cover(self, tokens: int) -> bool:
-        """Ask for so many more tokens; return whether they may go to the caller."""
+        """Request `tokens` more; return whether they may be sent to the caller."""
         return await self.cover_total(self._used + tokens)
 
     async def cover_total(self, total: int) -> bool:
-        """Return whether the turn may hand out so many tokens in all.
+        """Return whether the turn may use `total` tokens.
 
-        Where the log doesn't say in time a lender covers the rest, and where a
-        loan is used up the log may be back. If neither helps, the stream waits
-        for as long as its caller does.
+        If the log does not answer in time, a lender covers the rest; if a loan is used
+        up, the log is asked again. If neither helps, the stream retries for up to
+        `COVER_TIMEOUT`.
         """
         if await self._cover_in_time(total) or await self._cover_from_other_source(
             total
@@ -177,7 +175,7 @@
             return False
 
     async def _cover_from_other_source(self, total: int) -> bool:
-        """Have a lender cover the rest of the turn in place of the log, or it again."""
+        """Cover the rest of the turn by a lender instead of the log, or the reverse."""
         most = max(total, self._start.terms.most)
         terms = self._start.terms.remainder(most - self._used)
         hold: Hold | BudgetVerdict | None
@@ -192,10 +190,10 @@
         return await hold.verdict() is BudgetVerdict.FITS
 
     def _replace_hold(self, hold: Hold) -> bool:
-        """Have another hold cover what is still to come; False if the turn ended."""
+        """Continue the turn on another hold; return False if the turn has ended."""
         if self._ended:
-            # Nobody else would close it, and it would count as handed out; the
-            # turn may have ended during any wait for it.
+            # The turn ended while the hold was requested; an open hold would count as
+            # used.
             hold.close()
             return False
         self._hold.close()
@@ -204,32 +202,32 @@
         return True
 
     def write_index(self) -> None:
-        """Write the program of the turn beside its run."""
+        """Start to write the index record of the turn."""
         self._index_write = self._ledger.write_index(self._start.terms)
 
     def record_usage(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
+        """Count tokens that were sent to the caller."""
         self._used += tokens
         self._hold.record_usage(tokens)
 
     async def commit(self, given: bytes, produced: bytes) -> None:
-        """Make the turn part of the history; return once that is durable."""
+        """Append the turn to the history; return once it is durable."""
         content = turn_content(self._start, self._history, given, produced)
         await self.commit_content(content)
         if self._index_write is not None:
             await self._index_write
 
     def record_total_usage(self, total: int) -> None:
-        """Count what another process has handed out in all."""
+        """Count what another process has sent to the caller in total."""
         self.record_usage(max(0, total - self._used))
 
     async def commit_content(self, content: TurnContent) -> None:
-        """Commit what another process relayed and announced."""
+        """Commit content relayed by another process, which writes the index record."""
         self._ended = True
         await self._ledger.commit(self._hold, content)
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Release what the turn did not use; further calls do nothing."""
         self._ended = True
         self._hold.close()
 
@@ -242,10 +240,10 @@
         self._lender = lender or NoLender()
 
     async def open(self, start: TurnStart) -> LocalTurn | TurnRefusal:
-        """Reserve a turn and find its history, or say why not.
+        """Reserve a turn and look up its history, or return why that is refused.
 
-        A turn that is kept begins also while the store is away: its events
-        reach the caller, and its end waits until the store keeps it.
+        A turn that is kept may begin while the store is unavailable. Its events reach
+        the caller, and its commit waits for the store.
         """
         history: History | None = None
         if start.kept and start.previous is not None:
@@ -258,7 +256,7 @@
     async def reserve(
         self, start: TurnStart, history: History | None
     ) -> LocalTurn | BudgetVerdict:
-        """Reserve a turn whose history is known, or say why not."""
+        """Reserve a turn whose history is known, or return why that is refused."""
         hold = await self._hold(start.terms)
         if isinstance(hold, BudgetVerdict):
             return hold
@@ -271,7 +269,7 @@
         )
 
     async def _hold(self, terms: TurnTerms) -> Hold | BudgetVerdict:
-        """Have the log grant a turn, or else a lender cover it."""
+        """Obtain a hold from the log, or else from a lender."""
         reserving = asyncio.create_task(self._ledger.reserve(terms))
         try:
             await asyncio.wait([reserving], timeout=LOG_TIMEOUT)
@@ -284,25 +282,25 @@
             if loan is None:
                 return await reserving
         except BaseException:
-            # Also a caller that leaves just as the grant arrives: the grant would
-            # stay held for nobody, and later turns be refused for it.
+            # Also when the caller is cancelled just as the grant arrives: nobody would
+            # release it otherwise.
             _cancel_reservation(reserving)
             raise
         _cancel_reservation(reserving)
         return loan
 
 
-# Verdicts of the log that don't hold for the part of a budget that is lent.
+# Verdicts of the log after which a lender may still cover the turn.
 LENDABLE_VERDICTS = frozenset({BudgetVerdict.UNCERTAIN, BudgetVerdict.EXCEEDED})
 
 
 async def _borrow(
     lender: Lender, terms: TurnTerms, verdict: Reservation | BudgetVerdict
 ) -> Hold | None:
-    """Borrow where the log has no more, or can't say whether it has.
+    """Borrow if the log has no more tokens, or can't say whether it has.
 
-    A turn that gets less than its most is broken off where it needs more. In
-    an outage that is better than none; near the end of a budget it is not.
+    A turn with less than its maximum may be cut off. That is accepted while the log is
+    unavailable, but not near the end of a budget.
     """
     uncertain = verdict is BudgetVerdict.UNCERTAIN
     least = int(terms.most * MIN_LOAN_SHARE) if uncertain else terms.most
@@ -310,7 +308,7 @@
 
 
 def _cancel_reservation(reserving: asyncio.Task[Reservation | BudgetVerdict]) -> None:
-    """Give back what the log grants too late."""
+    """Cancel a reservation, and release it if it is granted nevertheless."""
     reserving.add_done_callback(_close_reserved)
     reserving.cancel()
 
