--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -71,7 +71,7 @@
         """
         if not partition.loaded and not await partition.sync():
             return BudgetVerdict.UNCERTAIN
-        account = self._account(partition, terms)
+        account = self._get_account(partition, terms)
         if account.wanted + terms.most <= account.granted:
             return self._make_reservation(account, terms, reserved=terms.most)
         refusal = await self._check_fit(account, terms)
@@ -193,7 +193,7 @@
         state = account.partition.state
         return state.wanted_by_others(account.program, state.now() - RELEASE_DEADLINE)
 
-    def _account(self, partition: LedgerPartition, terms: TurnTerms) -> Account:
+    def _get_account(self, partition: LedgerPartition, terms: TurnTerms) -> Account:
         account = self._accounts.get(terms.program)
         if account is None:
             account = Account(terms=terms, partition=partition)
@@ -286,7 +286,7 @@
 
     def _fits_superseding(self, account: Account, terms: TurnTerms) -> bool:
         """Return whether a turn fits if it replaces earlier ones of its session."""
-        freed = _unreserved(account.partly_reserved(terms.session))
+        freed = _unreserved_tokens(account.partly_reserved(terms.session))
         return self.has_free(account, terms.most - freed)
 
     def _supersede_earlier(self, account: Account, terms: TurnTerms) -> None:
@@ -301,7 +301,7 @@
             "tokens",
             terms.turn,
             account.program,
-            _unreserved(earlier),
+            _unreserved_tokens(earlier),
         )
         for allocation in earlier:
             allocation.superseded = True
@@ -375,7 +375,7 @@
         return account.partition.append(keyed, urgent=urgent)
 
 
-def _unreserved(allocations: list[TurnAllocation]) -> int:
+def _unreserved_tokens(allocations: list[TurnAllocation]) -> int:
     """Return what allocations may use beyond their reserved part."""
     return sum(allocation.remaining - allocation.reserved for allocation in allocations)
 
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -35,7 +35,7 @@
     """Newest offset of a group of records, and the time at which it was first seen."""
 
     offset: Offset
-    since: float
+    first_seen: float
 
 
 class Sweeper:
@@ -106,9 +106,9 @@
             offset = max(record.offset for record in records)
             state = previous.get(group)
             if state is None or state.offset != offset:
-                state = _GroupState(offset=offset, since=now)
+                state = _GroupState(offset=offset, first_seen=now)
             states[group] = state
-            if state.since + _retention(records) + GRACE_PERIOD < now:
+            if state.first_seen + _retention(records) + GRACE_PERIOD < now:
                 ended.extend(record.key for record in records)
         return ended
 
@@ -127,4 +127,4 @@
 
 def _retention(records: list[ListedRecord]) -> float:
     decoded = [decode_record(record.value) for record in records]
-    return max(one.retention for one in decoded if one is not None)
+    return max(record.retention for record in decoded if record is not None)
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -156,9 +156,7 @@
         up, the log is asked again. If neither helps, the stream retries for up to
         `COVER_TIMEOUT`.
         """
-        if await self._cover_in_time(total) or await self._cover_from_other_source(
-            total
-        ):
+        if await self._cover_in_time(total) or await self._switch_source(total):
             return True
         deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
@@ -174,7 +172,7 @@
         except TimeoutError:
             return False
 
-    async def _cover_from_other_source(self, total: int) -> bool:
+    async def _switch_source(self, total: int) -> bool:
         """Cover the rest of the turn by a lender instead of the log, or the reverse."""
         most = max(total, self._start.terms.most)
         terms = self._start.terms.remainder(most - self._used)
@@ -257,7 +255,7 @@
         self, start: TurnStart, history: History | None
     ) -> LocalTurn | BudgetVerdict:
         """Reserve a turn whose history is known, or return why that is refused."""
-        hold = await self._hold(start.terms)
+        hold = await self._obtain_hold(start.terms)
         if isinstance(hold, BudgetVerdict):
             return hold
         return LocalTurn(
@@ -268,7 +266,7 @@
             lender=self._lender,
         )
 
-    async def _hold(self, terms: TurnTerms) -> Hold | BudgetVerdict:
+    async def _obtain_hold(self, terms: TurnTerms) -> Hold | BudgetVerdict:
         """Obtain a hold from the log, or else from a lender."""
         reserving = asyncio.create_task(self._ledger.reserve(terms))
         try:
--- a/sequoiaarch/tests/ledger/fake_lender.py
+++ b/sequoiaarch/tests/ledger/fake_lender.py
@@ -1,4 +1,4 @@
-"""Stand for a lender that takes its time."""
+"""Provide a lender whose answers are delayed until the test allows them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class WholeLoan:
-    """Stand for a loan that covers a whole turn."""
+    """Loan that covers a whole turn."""
 
     def __init__(self, *, terms: TurnTerms) -> None:
         self.terms = terms
@@ -23,19 +23,19 @@
         return BudgetVerdict.FITS
 
     async def cover(self, total: int) -> bool:
-        """Return whether so many tokens may be handed out."""
+        """Return whether `total` tokens may be used."""
         return total <= self.terms.most
 
     def record_usage(self, tokens: int) -> None:
-        """Count nothing."""
+        """Do nothing."""
 
     def close(self) -> None:
-        """Note that it was settled."""
+        """Mark the loan as settled."""
         self.closed = True
 
 
 class SlowLender:
-    """Lend once the test lets it."""
+    """Lender that answers once `answer` is set."""
 
     def __init__(self) -> None:
         self.asked = asyncio.Event()
--- a/sequoiaarch/tests/ledger/random_tests.py
+++ b/sequoiaarch/tests/ledger/fault_injection_tests.py
@@ -1,4 +1,4 @@
-"""Compare the ledger with a naive one under seeded faults of store and processes."""
+"""Compare the ledger with a simple model under seeded faults."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 PROGRAMS = 3
 BUDGET = 700
 MOST = 100
-PATIENCE = 0.2
-LATE = 0.03
+STEP_TIMEOUT = 0.2
+DELAY = 0.03
 
 
 class _Process:
-    """Hold one life of a process."""
+    """One run of a process."""
 
     def __init__(self, *, name: str, store: KeyedStore) -> None:
         self.client: KeyedStoreClient = store.client()
@@ -34,52 +34,51 @@
         self.turns = LocalTurns(ledger=self.ledger)
 
 
-class _World:
-    """Run turns of a few programs through processes that come and go.
+class _Simulation:
+    """Run turns of a few programs on processes that come and go.
 
-    The naive ledger is a dictionary of the turns whose end was told, and the
-    tokens that were handed out.
+    The model consists of the committed turns and the tokens used.
     """
 
     def __init__(self, *, seed: int) -> None:
         self.rng = random.Random(seed)
         self.store = KeyedStore()
-        self.lives = 0
-        self.processes = [self.fresh() for _ in range(PROCESSES)]
-        self.ended: list[_Process] = []
+        self.starts = 0
+        self.processes = [self.start_process() for _ in range(PROCESSES)]
+        self.stopped: list[_Process] = []
         self.prompts: dict[TurnId, tuple[ProgramId, bytes]] = {}
-        self.handed: dict[ProgramId, int] = {}
+        self.used: dict[ProgramId, int] = {}
         self.count = 0
 
-    def fresh(self) -> _Process:
+    def start_process(self) -> _Process:
         """Start a process."""
-        self.lives += 1
-        return _Process(name=f"life-{self.lives}", store=self.store)
+        self.starts += 1
+        return _Process(name=f"life-{self.starts}", store=self.store)
 
     async def close(self) -> None:
-        """End all processes."""
-        for process in [*self.processes, *self.ended]:
+        """Stop all processes."""
+        for process in [*self.processes, *self.stopped]:
             await process.ledger.close()
-        # What a lost process still waited for never comes.
+        # Tasks of lost processes wait for answers that never come.
         left = asyncio.all_tasks() - {asyncio.current_task()}
         for task in left:
             task.cancel()
         await asyncio.gather(*left, return_exceptions=True)
 
-    def disturb(self) -> None:
-        """Bring one fault about, or end one."""
-        place = self.rng.randrange(PROCESSES)
-        process = self.processes[place]
+    def inject_fault(self) -> None:
+        """Inject a random fault, or end one."""
+        index = self.rng.randrange(PROCESSES)
+        process = self.processes[index]
         faults = process.client.faults
         kind = self.rng.randrange(8)
         if kind == 0:
-            self.ended.append(process)
-            self.processes[place] = self.fresh()
+            self.stopped.append(process)
+            self.processes[index] = self.start_process()
         elif kind == 1:
             faults.down = not faults.down
         elif kind == 2:
             faults.lost_answers = self.rng.randint(1, 3)
-            faults.late = self.rng.choice((0.0, LATE))
+            faults.late = self.rng.choice((0.0, DELAY))
         elif kind == 3:
             self.store.forget_history()
         elif kind == 4:
@@ -93,11 +92,15 @@
             faults.down = False
 
     async def turn(self) -> None:
-        """Run a turn that continues any turn told so far, or none."""
+        """Run a turn that continues a random committed turn, or none."""
         self.count += 1
         program = _program(self.rng.randrange(PROGRAMS))
-        told = list(self.prompts)
-        previous = self.rng.choice(told) if told and self.rng.random() < 0.8 else None
+        committed = list(self.prompts)
+        previous = (
+            self.rng.choice(committed)
+            if committed and self.rng.random() < 0.8
+            else None
+        )
         process = self.rng.choice(self.processes)
         turn = TurnId(f"t{self.count}")
         start = TurnStart(
@@ -106,10 +109,10 @@
             ),
             previous=previous,
             kept=True,
-            lifetime=PATIENCE,
+            lifetime=STEP_TIMEOUT,
         )
         try:
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(STEP_TIMEOUT):
                 await self._run(process, start)
         except TimeoutError:
             pass
@@ -120,9 +123,9 @@
             assert opened is not LookupFailure.ABSENT, (start, opened)
             return
         try:
-            before = self.prompts[start.previous][1] if start.previous else b""
+            previous_prompt = self.prompts[start.previous][1] if start.previous else b""
             found = opened.history.prompt if opened.history else b""
-            assert found == before, (start, found, before)
+            assert found == previous_prompt, (start, found, previous_prompt)
             if await opened.verdict() is not BudgetVerdict.FITS:
                 return
             opened.write_index()
@@ -131,10 +134,10 @@
             if not await opened.cover(tokens):
                 return
             opened.record_usage(tokens)
-            self.handed[program] = self.handed.get(program, 0) + tokens
+            self.used[program] = self.used.get(program, 0) + tokens
             given = f"[{start.terms.turn}".encode()
             await opened.commit(given, b"]")
-            self.prompts[start.terms.turn] = (program, before + given + b"]")
+            self.prompts[start.terms.turn] = (program, previous_prompt + given + b"]")
         finally:
             opened.close()
 
@@ -143,34 +146,36 @@
     return ProgramId(f"program-{number}")
 
 
-class RandomTests(unittest.IsolatedAsyncioTestCase):
-    """Run seeded worlds."""
+class FaultInjectionTests(unittest.IsolatedAsyncioTestCase):
+    """Run seeded simulations."""
 
-    async def test_histories_and_budgets(self) -> None:
-        """Find every turn that was told, exactly, and never exceed a budget.
+    async def test_committed_turns_and_budgets(self) -> None:
+        """Find every committed turn exactly, and never exceed a budget.
 
-        Processes die, are turned away, lose answers that are carried out
-        late, and forget what they had read, while turns of the same programs
-        run through all of them, several at once.
+        Processes crash, lose the store, get delayed duplicates of their appends and
+        drop their caches, while concurrent turns of the same programs run on all of
+        them.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                world = _World(seed=seed)
+                simulation = _Simulation(seed=seed)
                 for _ in range(STEPS):
-                    if world.rng.random() < 0.3:
-                        world.disturb()
-                    turns = [world.turn() for _ in range(world.rng.randint(1, 3))]
+                    if simulation.rng.random() < 0.3:
+                        simulation.inject_fault()
+                    turns = [
+                        simulation.turn() for _ in range(simulation.rng.randint(1, 3))
+                    ]
                     await asyncio.gather(*turns)
-                await self._check(world)
-                await world.close()
-
-    async def _check(self, world: _World) -> None:
-        for program, handed in world.handed.items():
-            self.assertLessEqual(handed, BUDGET, program)
-        fresh = world.fresh()
-        world.ended.append(fresh)
-        self.assertGreater(len(world.prompts), 5)
-        for turn, (program, prompt) in world.prompts.items():
-            found = await fresh.ledger.history(program, turn)
+                await self._check(simulation)
+                await simulation.close()
+
+    async def _check(self, simulation: _Simulation) -> None:
+        for program, used in simulation.used.items():
+            self.assertLessEqual(used, BUDGET, program)
+        start_process = simulation.start_process()
+        simulation.stopped.append(start_process)
+        self.assertGreater(len(simulation.prompts), 5)
+        for turn, (program, prompt) in simulation.prompts.items():
+            found = await start_process.ledger.history(program, turn)
             assert isinstance(found, History), (turn, found)
             self.assertEqual(found.prompt, prompt)
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -1,4 +1,4 @@
-"""Test that turns are never lost and budgets never exceeded."""
+"""Test that committed turns are never lost and budgets never exceeded."""
 
 from __future__ import annotations
 
@@ -49,15 +49,15 @@
 
 
 class LedgerTestCase(unittest.IsolatedAsyncioTestCase):
-    """Hold a store and ledgers of several processes on it."""
+    """Set up a store and the ledgers of several processes."""
 
     async def asyncSetUp(self) -> None:
-        """Make the store."""
+        """Create the store."""
         self.store = KeyedStore()
         self._ledgers: list[Ledger] = []
 
     async def asyncTearDown(self) -> None:
-        """End the ledgers."""
+        """Close the ledgers."""
         for ledger in self._ledgers:
             await ledger.close()
 
@@ -71,16 +71,16 @@
         self._ledgers.append(ledger)
         return ledger
 
-    async def store_records(self, place: Partition) -> list[KeyedRecord]:
-        """Return all records that stand in a partition."""
-        page = await self.store.client().read(place, Offset(0), wait=0)
+    async def store_records(self, partition: Partition) -> list[KeyedRecord]:
+        """Return all records of a partition."""
+        page = await self.store.client().read(partition, Offset(0), wait=0)
         assert not isinstance(page, Failure | LogGap)
         return page.records
 
     async def reserved(
         self, ledger: Ledger, turn: str, *, program: ProgramId = PROGRAM
     ) -> Reservation:
-        """Return the reservation of a turn, which must fit."""
+        """Reserve a turn, which must fit."""
         found = await ledger.reserve(terms(turn, program=program))
         assert isinstance(found, Reservation)
         return found
@@ -91,7 +91,7 @@
         turn: str,
         parent: str | None,
         given: bytes,
-        made: bytes,
+        produced: bytes,
         *,
         program: ProgramId = PROGRAM,
     ) -> None:
@@ -100,29 +100,24 @@
         await reservation.verdict()
         announced = ledger.write_index(reservation.terms)
         content = TurnContent(
-            parent=TurnId(parent) if parent else None, given=given, produced=made
+            parent=TurnId(parent) if parent else None, given=given, produced=produced
         )
         await ledger.commit(reservation, content)
         await announced
 
 
 class HistoryTests(LedgerTestCase):
-    """Test that a committed turn is found everywhere, and nothing else is."""
+    """Find committed turns on every process, and no others."""
 
-    async def test_other_process_at_once(self) -> None:
-        """Continue a turn elsewhere before anything told that process of it.
-
-        The caller has the end of its first turn and sends the next through
-        another process a millisecond later. That one has not read the log
-        since. It must look before it answers that there is no such turn.
-        """
+    async def test_commit_is_visible_to_other_process_at_once(self) -> None:
+        """Find a turn on a process that has not read the log since its commit."""
         first = await self.ledger("a")
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in1", b"out1")
         found = await second.history(PROGRAM, TurnId("t1"))
         self.assertEqual(prompt(found), b"in1out1")
 
-    async def test_branches(self) -> None:
+    async def test_branches_have_separate_histories(self) -> None:
         """Continue one turn twice; each branch has its own history."""
         ledger = await self.ledger("a")
         await self.commit(ledger, "t1", None, b"a", b"b")
@@ -133,17 +128,16 @@
         found = await ledger.history(PROGRAM, TurnId("t3"))
         self.assertEqual(prompt(found), b"abef")
 
-    async def test_unknown_turn(self) -> None:
-        """Deny a turn that was never answered, once the log was read to its end."""
+    async def test_unknown_turn_is_absent(self) -> None:
+        """Report a turn as absent once the log was read to its end."""
         ledger = await self.ledger("a")
         found = await ledger.history(PROGRAM, TurnId("nothing"))
         self.assertIs(found, LookupFailure.ABSENT)
 
-    async def test_unknown_while_store_is_away(self) -> None:
-        """Admit uncertainty about a turn while the log can't be read.
+    async def test_lookup_is_uncertain_while_store_is_down(self) -> None:
+        """Report an uncertain result, not absence, while the log can't be read.
 
-        Another process committed the turn. The store then turns this process
-        away. An answer that there is no such turn would end the program.
+        An absent turn would end the program.
         """
         first = await self.ledger("a")
         second = await self.ledger("b")
@@ -152,8 +146,8 @@
         found = await second.history(PROGRAM, TurnId("t1"))
         self.assertIs(found, LookupFailure.UNCERTAIN)
 
-    async def test_all_processes_lost(self) -> None:
-        """Find a turn after every process was lost and the history dropped."""
+    async def test_turn_survives_loss_of_all_processes(self) -> None:
+        """Find a turn after all processes were lost and the log was compacted."""
         first = await self.ledger("a")
         await self.commit(first, "t1", None, b"in1", b"out1")
         await self.commit(first, "t2", "t1", b"in2", b"out2")
@@ -162,8 +156,8 @@
         found = await fresh.history(PROGRAM, TurnId("t2"))
         self.assertEqual(prompt(found), b"in1out1in2out2")
 
-    async def test_history_dropped_while_running(self) -> None:
-        """Find a turn that was committed and dropped from the history unread."""
+    async def test_unread_turn_is_found_after_compaction(self) -> None:
+        """Find a turn that was compacted before this process read it."""
         first = await self.ledger("a")
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in", b"out")
@@ -171,8 +165,8 @@
         found = await second.history(PROGRAM, TurnId("t1"))
         self.assertEqual(prompt(found), b"inout")
 
-    async def test_another_program_continues(self) -> None:
-        """Continue a turn under another program, whose partition differs."""
+    async def test_other_program_continues_a_turn(self) -> None:
+        """Find a turn for another program, in whatever partition that is."""
         first = await self.ledger("a")
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in", b"out")
@@ -181,11 +175,10 @@
             found = await second.history(other, TurnId("t1"))
             self.assertEqual(prompt(found), b"inout")
 
-    async def test_late_copy_of_a_commit(self) -> None:
-        """Keep a turn although its first commit was lost and comes late.
+    async def test_delayed_duplicate_of_a_commit(self) -> None:
+        """Keep a turn whose append lost its answer and is carried out late.
 
-        The answer to the append is lost, and the store carries it out after
-        the repeat and after what followed it.
+        The late copy arrives after the retry and after the next turn.
         """
         first = await self.ledger("a")
         self.clients["a"].faults.lost_answers = 1
@@ -197,12 +190,11 @@
         found = await fresh.history(PROGRAM, TurnId("t2"))
         self.assertEqual(prompt(found), b"inoutin2out2")
 
-    async def test_foreign_history_outlives_its_program(self) -> None:
-        """Keep a history that a second program continues, after the first ended.
+    async def test_copied_history_outlives_its_program(self) -> None:
+        """Keep a history that a second program continues after the first has ended.
 
-        A second program continues a turn of a first one, through a process
-        that knows neither. The first one's records are removed when it can't
-        come back. The second one's next turn still needs them.
+        The records of the first program are removed, but the second one's next turn
+        still needs them.
         """
         first = await self.ledger("a")
         await self.commit(first, "t1", None, b"in", b"out")
@@ -218,12 +210,12 @@
         await second.commit(reservation, content)
         await second.write_index(reservation.terms)
         await self.store.add(second.partition_map.of_program(PROGRAM), "t1", b"")
-        third = await self.ledger("c")
-        last = await third.history(other, TurnId("u1"))
+        small_terms = await self.ledger("c")
+        last = await small_terms.history(other, TurnId("u1"))
         self.assertEqual(prompt(last), b"inout+!")
 
-    async def test_memory_of_turns_is_freed(self) -> None:
-        """Find a turn whose memory was needed for others."""
+    async def test_dropped_turns_are_read_again(self) -> None:
+        """Find a turn whose memory was freed."""
         ledger = await self.ledger("a")
         await self.commit(ledger, "t1", None, b"in", b"out")
         ledger.partition(PROGRAM).drop_turns()
@@ -231,11 +223,11 @@
         found = await ledger.history(PROGRAM, TurnId("t1"))
         self.assertEqual(prompt(found), b"inout")
 
-    async def test_a_start_reads_little(self) -> None:
-        """Continue a turn after a power loss by reading its program alone.
+    async def test_start_reads_only_the_needed_partition(self) -> None:
+        """Read a single partition to continue a turn after a restart.
 
-        All processes lose power and start again at once. When each read the
-        whole store first, none of them answered for 16 s.
+        Reading the whole store would delay the start of all processes after a power
+        loss.
         """
         first = await self.ledger("a", per_topic=12)
         for number in range(20):
@@ -249,10 +241,10 @@
 
 
 class BudgetTests(LedgerTestCase):
-    """Test that no more than the budget is ever handed out."""
+    """Check that no more than the budget is ever used."""
 
     async def run_turn(self, ledger: Ledger, turn: str, tokens: int) -> BudgetVerdict:
-        """Run a turn that hands out tokens, and return whether it fitted."""
+        """Run a turn that uses `tokens`, and return whether it fitted."""
         found = await ledger.reserve(terms(turn))
         if isinstance(found, BudgetVerdict):
             return found
@@ -263,41 +255,35 @@
         found.close()
         return verdict
 
-    async def test_parallel_processes(self) -> None:
-        """Let parallel turns through two processes share one budget.
+    async def test_parallel_turns_on_two_processes_share_a_budget(self) -> None:
+        """Admit as many parallel turns on two processes as the budget holds.
 
-        Sub-agents of one program start at once through different processes,
-        each of which knows only its own turns. Together they want twice the
-        budget; the order in the log decides which of them fit.
+        Each process knows only its own turns; the order of the log decides.
         """
         ledgers = [await self.ledger("a"), await self.ledger("b")]
         wanted = 2 * BUDGET // MOST
 
-        async def one(number: int) -> bool:
+        async def run_one(number: int) -> bool:
             found = await ledgers[number % 2].reserve(terms(f"t{number}"))
             if not isinstance(found, Reservation):
                 return False
             if await found.verdict() is not BudgetVerdict.FITS:
                 return False
-            self.assertTrue(await found.cover(MOST), "cut although it had room")
+            self.assertTrue(await found.cover(MOST), "cut off although it fits")
             found.record_usage(MOST)
             return True
 
-        results = await asyncio.gather(*(one(number) for number in range(wanted)))
+        results = await asyncio.gather(*(run_one(number) for number in range(wanted)))
         self.assertLessEqual(sum(results), BUDGET // MOST)
         self.assertGreaterEqual(sum(results), BUDGET // MOST - 2)
 
-    async def test_small_budget_after_a_loss(self) -> None:
-        """Let a program go on whose budget holds one more turn after a loss.
+    async def test_small_budget_admits_a_turn_after_a_crash(self) -> None:
+        """Admit another turn of a small budget after a crash during its second turn.
 
-        A program with a budget of two turns ends its first one, which used half
-        of its most, and begins the second; all processes are lost after a few
-        tokens of it. Its kept turn can be continued and 1,134 - 340 tokens are
-        not handed out, more than a turn needs; but what the lost process held
-        for the second turn counts as spent, and every try is refused.
+        Guards against counting the maximum of the interrupted turn as spent.
         """
 
-        def of_two(turn: str) -> TurnTerms:
+        def small_terms(turn: str) -> TurnTerms:
             return TurnTerms(
                 turn=TurnId(turn),
                 program=PROGRAM,
@@ -308,7 +294,7 @@
 
         first = await self.ledger("a")
         for turn, tokens in (("t1", 300), ("t2", 40)):
-            hold = await first.reserve(of_two(turn))
+            hold = await first.reserve(small_terms(turn))
             assert isinstance(hold, Reservation)
             self.assertIs(await hold.verdict(), BudgetVerdict.FITS)
             hold.record_usage(tokens)
@@ -316,24 +302,20 @@
                 hold.close()
                 await first.flush()
         fresh = await self.ledger("b")
-        # Until then the answer is to come back, as a live process may return it.
+        # Before this deadline the turn is refused as held, since a live process may
+        # release the tokens.
         with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
-            found = await fresh.reserve(of_two("t3"))
+            found = await fresh.reserve(small_terms("t3"))
         self.assertIsInstance(found, Reservation)
 
-    async def test_loss_within_a_raised_turn(self) -> None:
-        """Count as spent what a lost process was granted, after raises too.
-
-        A turn of a small budget has more granted while it runs, and hands it
-        out; its process is lost. Another process must not hand out the same
-        tokens, whatever the first one's turn had come to.
-        """
+    async def test_raised_grant_of_a_lost_process_counts_as_spent(self) -> None:
+        """Count all raised grants of a lost process as spent, as its turn used them."""
         ledger = await self.ledger("a")
 
-        def third(turn: str) -> TurnTerms:
+        def small_terms(turn: str) -> TurnTerms:
             return msgspec.structs.replace(terms(turn), budget=3 * MOST)
 
-        first = await ledger.reserve(third("t1"))
+        first = await ledger.reserve(small_terms("t1"))
         assert isinstance(first, Reservation)
         self.assertIs(await first.verdict(), BudgetVerdict.FITS)
         for _ in range(9):
@@ -343,18 +325,18 @@
         self.assertIsNone(first.covered)
         first.record_usage(MOST)
         fresh = await self.ledger("b")
-        handed = MOST
+        used = MOST
         with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
             for number in range(4):
-                hold = await fresh.reserve(third(f"u{number}"))
+                hold = await fresh.reserve(small_terms(f"u{number}"))
                 if isinstance(hold, Reservation):
                     self.assertTrue(await hold.cover(MOST))
                     hold.record_usage(MOST)
-                    handed += MOST
-        self.assertEqual(handed, 3 * MOST)
+                    used += MOST
+        self.assertEqual(used, 3 * MOST)
 
-    async def test_turn_that_announced_nothing(self) -> None:
-        """Have the log grant what a turn comes to beyond what was announced."""
+    async def test_turn_without_announced_maximum(self) -> None:
+        """Have the log grant what a turn uses beyond its announced maximum."""
         ledger = await self.ledger("a")
         hold = await ledger.reserve(msgspec.structs.replace(terms("t1"), most=0))
         assert isinstance(hold, Reservation)
@@ -365,18 +347,16 @@
         state = ledger.partition(PROGRAM).state
         self.assertGreaterEqual(state.granted(PROGRAM, ledger.writer), 100)
 
-    async def test_turn_that_waits_keeps_its_claim(self) -> None:
-        """Leave free what a turn may need that waits for long at a full engine.
+    async def test_queued_turn_keeps_its_demand(self) -> None:
+        """Keep tokens free for a turn that is queued at a busy engine for long.
 
-        Its process told the others what the turn may come to, and they leave
-        that free for a while. The turn's first event comes later. Sub-agents
-        that begin through another process meanwhile must not get the rest of the
-        budget: the stream would be cut in the middle.
+        Sub-agents that begin on another process meanwhile must not get them, or the
+        stream is cut off.
         """
         first, second = await self.ledger("a"), await self.ledger("b")
         budget = int(2.5 * MOST)
 
-        def of(turn: str) -> TurnTerms:
+        def limited_terms(turn: str) -> TurnTerms:
             return msgspec.structs.replace(terms(turn), budget=budget)
 
         with (
@@ -386,55 +366,51 @@
         ):
             returning = asyncio.create_task(first.run_release())
             self.addCleanup(returning.cancel)
-            waiting = await first.reserve(of("t1"))
+            waiting = await first.reserve(limited_terms("t1"))
             assert isinstance(waiting, Reservation)
             self.assertIs(await waiting.verdict(), BudgetVerdict.FITS)
-            other = await second.reserve(of("t2"))
+            other = await second.reserve(limited_terms("t2"))
             assert isinstance(other, Reservation)
             await asyncio.sleep(1.5)
-            self.assertIsInstance(await second.reserve(of("t3")), BudgetVerdict)
+            self.assertIsInstance(
+                await second.reserve(limited_terms("t3")), BudgetVerdict
+            )
         self.assertTrue(await waiting.cover(MOST))
         self.assertTrue(await other.cover(MOST))
 
-    async def test_refused_turns_take_no_part(self) -> None:
-        """Raise what a running turn holds beside turns that are refused.
+    async def test_refused_turns_do_not_block_running_ones(self) -> None:
+        """Raise the grants of running turns while other turns are refused.
 
-        A program that loops starts sub-agents through several processes. Two of
-        its turns run and leave no room for a third. Another process, which has
-        not read of them, is asked for one again and again. Its view is old: it
-        must look before it asks the log for a part, or the running turns find
-        their rest taken, and their streams are cut.
+        A process with an outdated view must read the log before it requests tokens, or
+        its requests block the running turns of other processes.
         """
         first, second = await self.ledger("a"), await self.ledger("b")
 
-        def of(turn: str) -> TurnTerms:
+        def limited_terms(turn: str) -> TurnTerms:
             return msgspec.structs.replace(terms(turn), budget=2 * MOST + 60)
 
-        early = await second.reserve(of("t0"))
+        early = await second.reserve(limited_terms("t0"))
         assert isinstance(early, Reservation)
         early.close()
         await second.flush()
-        running = [await first.reserve(of(name)) for name in ("t1", "t2")]
+        running = [await first.reserve(limited_terms(name)) for name in ("t1", "t2")]
         await first.flush()
-        place = second.partition_map.of_program(PROGRAM)
-        before = len(await self.store_records(place))
+        partition = second.partition_map.of_program(PROGRAM)
+        before = len(await self.store_records(partition))
         for number in range(5):
-            self.assertIs(await second.reserve(of(f"u{number}")), BudgetVerdict.HELD)
-        self.assertEqual(len(await self.store_records(place)), before)
+            self.assertIs(
+                await second.reserve(limited_terms(f"u{number}")), BudgetVerdict.HELD
+            )
+        self.assertEqual(len(await self.store_records(partition)), before)
         for turn in running:
             assert isinstance(turn, Reservation)
             self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
             self.assertTrue(await turn.cover(MOST))
 
-    async def test_raise_that_did_not_hold_is_asked_for_again(self) -> None:
-        """Go on with a turn once what was in its way has been returned.
-
-        While a turn runs, another process begins one that finds no room and takes
-        its part back some milliseconds later. A raise that fell between the two did
-        not hold. The stream waits, and asks again.
-        """
+    async def test_refused_raise_is_retried(self) -> None:
+        """Continue a turn once the conflicting grant was released."""
         ledger = await self.ledger("a")
-        place = ledger.partition_map.of_program(PROGRAM)
+        partition = ledger.partition_map.of_program(PROGRAM)
         running = await ledger.reserve(
             msgspec.structs.replace(terms("t1"), budget=MOST + 20)
         )
@@ -450,23 +426,21 @@
                 tokens=tokens,
                 used=0,
             )
-            await self.store.add(place, key, encode_record(record))
+            await self.store.add(partition, key, encode_record(record))
             self.assertIs(await running.cover(MOST), fits)
 
-    async def test_room_is_returned_while_a_turn_is_judged(self) -> None:
-        """Have a caller come back whose budget was held only for a moment.
+    async def test_budget_released_during_admission_is_reported_as_held(self) -> None:
+        """Report a budget as held, not spent, if the conflict is gone when it is read.
 
-        Another process opens a turn and returns it at once, as its gateway has gone
-        elsewhere. A grant that falls between the two has no room at its place in the
-        log. By the time that it is read nothing is held any more, which was taken for
-        a budget that is spent.
+        Another process reserves tokens just before this one's grant and releases them
+        just after it.
         """
         ledger = await self.ledger("a")
         client = self.clients["a"]
-        place = ledger.partition_map.of_program(PROGRAM)
+        partition = ledger.partition_map.of_program(PROGRAM)
         small = msgspec.structs.replace(terms("t1"), budget=int(1.6 * MOST))
 
-        async def put_other(tokens: int, wanted: int) -> None:
+        async def write_other_grant(tokens: int, wanted: int) -> None:
             record = GrantRecord(
                 program=PROGRAM,
                 retention=RETENTION,
@@ -477,31 +451,27 @@
                 wanted=wanted,
             )
             key = grant_key(PROGRAM, WriterId("b"))
-            await self.store.add(place, key, encode_record(record))
+            await self.store.add(partition, key, encode_record(record))
 
         append = client.append
 
-        async def overtaken(
+        async def append_between_grants(
             partition: Partition, records: list[KeyedRecord], *, writer: Writer
         ) -> Offset | Failure:
-            await put_other(64, 30 + MOST)
+            await write_other_grant(64, 30 + MOST)
             done = await append(partition, records, writer=writer)
-            await put_other(30, 30)
+            await write_other_grant(30, 30)
             return done
 
-        await put_other(30, 30)
-        with mock.patch.object(client, "append", overtaken):
+        await write_other_grant(30, 30)
+        with mock.patch.object(client, "append", append_between_grants):
             found = await ledger.reserve(small)
         self.assertIs(found, BudgetVerdict.HELD)
         again = msgspec.structs.replace(small, turn=TurnId("t2"))
         self.assertIsInstance(await ledger.reserve(again), Reservation)
 
-    async def test_raise_without_an_answer(self) -> None:
-        """Hand out nothing of a raise whose answer was lost, and go on after it.
-
-        The store carries the raise out and its answer is lost; it is asked
-        again under the same number and gets the first answer.
-        """
+    async def test_raise_whose_answer_is_lost(self) -> None:
+        """Use nothing of a raise until its append is answered, and continue then."""
         ledger = await self.ledger("a")
         small = msgspec.structs.replace(terms("t1"), budget=2 * MOST)
         hold = await ledger.reserve(small)
@@ -515,7 +485,7 @@
         self.assertTrue(await covering)
         self.assertTrue(hold.granted)
 
-    async def test_lost_process(self) -> None:
+    async def test_grants_of_a_lost_process_count_as_spent(self) -> None:
         """Count what a lost process was granted as spent."""
         first = await self.ledger("a")
         for number in range(BUDGET // MOST):
@@ -524,23 +494,22 @@
         found = await fresh.reserve(terms("another"))
         self.assertIn(found, (BudgetVerdict.EXCEEDED, BudgetVerdict.HELD))
 
-    async def test_never_more_than_the_budget(self) -> None:
-        """Hand out no more than the budget through processes that come and go.
+    async def test_successive_processes_stay_within_the_budget(self) -> None:
+        """Use no more than the budget on processes that replace each other.
 
-        One process after the other runs turns of a program and is lost; each
-        next one knows of the earlier ones' turns from the log alone.
+        Each process knows the turns of earlier ones only from the log.
         """
-        handed = 0
-        for life in range(6):
-            ledger = await self.ledger(f"life-{life}")
+        used = 0
+        for run in range(6):
+            ledger = await self.ledger(f"life-{run}")
             for number in range(4):
-                verdict = await self.run_turn(ledger, f"t{life}-{number}", 70)
-                handed += 70 * (verdict is BudgetVerdict.FITS)
-        self.assertLessEqual(handed, BUDGET)
-        self.assertGreater(handed, 0)
+                verdict = await self.run_turn(ledger, f"t{run}-{number}", 70)
+                used += 70 * (verdict is BudgetVerdict.FITS)
+        self.assertLessEqual(used, BUDGET)
+        self.assertGreater(used, 0)
 
-    async def test_rest_is_returned(self) -> None:
-        """Let another process use what a still program does not."""
+    async def test_unused_grant_is_released(self) -> None:
+        """Let another process use what an idle program left unused."""
         first = await self.ledger("a")
         second = await self.ledger("b")
         returning = asyncio.create_task(first.run_release())
@@ -556,13 +525,10 @@
             found = await second.reserve(terms(f"u{number}"))
             self.assertIsInstance(found, Reservation, number)
 
-    async def test_small_budget_after_all_are_lost(self) -> None:
-        """Let a program go on whose ended turns used little, after a power loss.
+    async def test_unused_tokens_of_ended_turns_survive_crashes(self) -> None:
+        """Admit turns of a small budget on processes that crash after each turn.
 
-        A program with a budget of three turns at their most takes turns through
-        several processes, each of which is lost right after the turn's end.
-        What they did not use must not count: the program that comes back has
-        most of its budget left.
+        What the ended turns left unused must not count.
         """
         small = 3 * MOST
 
@@ -575,22 +541,18 @@
                 retention=RETENTION,
             )
 
-        for life in range(6):
-            ledger = await self.ledger(f"life-{life}")
-            found = await ledger.reserve(small_terms(f"t{life}"))
-            assert isinstance(found, Reservation), (life, found)
+        for run in range(6):
+            ledger = await self.ledger(f"life-{run}")
+            found = await ledger.reserve(small_terms(f"t{run}"))
+            assert isinstance(found, Reservation), (run, found)
             self.assertIs(await found.verdict(), BudgetVerdict.FITS)
             found.record_usage(20)
             content = TurnContent(parent=None, given=b"", produced=b"")
             await ledger.commit(found, content)
             await ledger.close()
 
-    async def test_one_call_for_each_turn(self) -> None:
-        """Ask the store once for each turn at most, and hold nothing beside it.
-
-        Every call is priced. A program takes its turns one after the other, and
-        whenever its process is lost no more than one turn's most counts as spent.
-        """
+    async def test_one_store_call_per_turn(self) -> None:
+        """Call the store at most once per turn, and hold no grant beyond that turn."""
         ledger = await self.ledger("a")
         for number in range(8):
             self.assertIs(
@@ -601,12 +563,8 @@
             self.assertLessEqual(held, 30 * number + MOST)
         self.assertLessEqual(self.store.appends, 8)
 
-    async def test_store_away(self) -> None:
-        """Refuse at once while the store is away and nobody lends.
-
-        The store goes down between two turns. What was granted for the first is
-        durable, but no whole turn is left of it.
-        """
+    async def test_turn_is_refused_while_store_is_down(self) -> None:
+        """Refuse a turn at once while the store is down and there is no lender."""
         ledger = await self.ledger("a")
         self.assertIs(await self.run_turn(ledger, "t0", 40), BudgetVerdict.FITS)
         self.clients["a"].faults.down = True
@@ -614,12 +572,8 @@
             verdict = await self.run_turn(ledger, "t1", 40)
         self.assertIs(verdict, BudgetVerdict.UNCERTAIN)
 
-    async def test_spent_elsewhere(self) -> None:
-        """Refuse before the request is sent where the budget is spent elsewhere.
-
-        A refusal for the budget promises that the turn has not run, so near
-        the limit the log decides before anything is sent.
-        """
+    async def test_budget_spent_by_another_process(self) -> None:
+        """Refuse a turn before its request is sent if others have spent the budget."""
         first = await self.ledger("a")
         second = await self.ledger("b")
         self.assertIs(await self.run_turn(second, "u0", 10), BudgetVerdict.FITS)
@@ -630,12 +584,10 @@
         await second.partition(PROGRAM).sync()
         self.assertIsInstance(await second.reserve(terms("u1")), BudgetVerdict)
 
-    async def test_spent_elsewhere_unread(self) -> None:
-        """Hand nothing out where the budget was spent elsewhere and nobody read it.
+    async def test_budget_spent_by_another_process_unread(self) -> None:
+        """Use nothing if others have spent the budget and this process has not read so.
 
-        A process that has not read what others were granted may send the request
-        beside its grant. It learns from the grant's place that it does not fit,
-        before the first event goes out.
+        The request may start before the grant is known, but no event may be sent.
         """
         first = await self.ledger("a")
         second = await self.ledger("b")
@@ -647,12 +599,8 @@
         self.assertLessEqual(10 + ran * MOST + fits * MOST, BUDGET)
         self.assertFalse(fits)
 
-    async def test_refusal_names_what_was_counted(self) -> None:
-        """Log who was granted what where a turn is refused.
-
-        A caller is told that its budget is spent. Who keeps how much of it must be
-        found in the lines of the process that refused it.
-        """
+    async def test_refusal_log_lists_other_grants(self) -> None:
+        """Log what other processes were granted when a turn is refused."""
         first, second = await self.ledger("a"), await self.ledger("b")
         tight = msgspec.structs.replace(terms("t1"), budget=int(1.5 * MOST))
         self.assertIsInstance(await first.reserve(tight), Reservation)
@@ -663,13 +611,8 @@
         self.assertIn(f"{PROGRAM} is refused, its budget of 150 is held", text)
         self.assertIn("granted to others: a 34 of which 0 used, 100 wanted", text)
 
-    async def test_forgotten_partition(self) -> None:
-        """Count what was handed out here before the memory of it was freed.
-
-        A process frees what it knows of a program that has been still. The
-        program comes back there and spends the rest of its budget, not the
-        whole of it again.
-        """
+    async def test_usage_counts_after_partition_is_forgotten(self) -> None:
+        """Count what was used here before the memory of the partition was freed."""
         ledger = await self.ledger("a")
         ran = 0
         while await self.run_turn(ledger, f"t{ran}", 70) is BudgetVerdict.FITS:
@@ -682,12 +625,8 @@
         found = await fresh.reserve(terms("u"))
         self.assertFalse(isinstance(found, Reservation) and ran * 70 > BUDGET - MOST)
 
-    async def test_first_grant_needs_no_read_after_it(self) -> None:
-        """Learn that a grant holds from the place that the append returns.
-
-        Nothing of others stands before it, so a read would tell nothing new;
-        with one for each grant a program of ten turns cost ten calls more.
-        """
+    async def test_first_grant_needs_no_read(self) -> None:
+        """Tell from the offset of the append that a grant is valid, without a read."""
         ledger = await self.ledger("a")
         before = self.clients["a"].reads
         self.assertIs(await self.run_turn(ledger, "t0", 10), BudgetVerdict.FITS)
--- a/sequoiaarch/tests/ledger/state_tests.py
+++ b/sequoiaarch/tests/ledger/state_tests.py
@@ -1,4 +1,4 @@
-"""Test that a view of budgets which began late never counts too little."""
+"""Test that a state loaded from a snapshot never counts too few tokens."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def grant(writer: WriterId, tokens: int) -> tuple[str, bytes]:
-    """Return the key and the bytes of a grant."""
+    """Return the key and the encoded record of a grant."""
     record = GrantRecord(
         program=PROGRAM,
         retention=60.0,
@@ -32,44 +32,42 @@
     return grant_key(PROGRAM, writer), encode_record(record)
 
 
-class LateViewTests(unittest.TestCase):
-    """Fold the same records from their beginning and from a list."""
+class SnapshotStateTests(unittest.TestCase):
+    """Compare a state built from all records with one that starts from a snapshot."""
 
-    def test_raise_that_never_held(self) -> None:
-        """Count a grant although one in the list never held.
+    def test_grant_in_snapshot_that_was_never_valid(self) -> None:
+        """Count a grant from a snapshot although it never fitted the budget.
 
-        One process asked for more than was left, in vain. A second process
-        begins to read: the list shows what was asked for, and the second one
-        takes it for granted. A third is granted tokens that seem too many
-        then. When the first one puts its record right, the second must not
-        believe that the third has nothing, or both hand out the same tokens.
+        A later grant of another writer looks too large then, but may be valid. Once the
+        first writer corrects its record, the second must still count, or two processes
+        use the same tokens.
         """
-        late = LedgerState(writer=READER)
-        late.apply(*grant(WriterId("one"), 400), ordered=False)
-        late.apply(*grant(WriterId("three"), 300))
-        late.apply(*grant(WriterId("one"), 100))
-        self.assertEqual(late.wanted_by_others(PROGRAM, math.inf), 400)
+        from_snapshot = LedgerState(writer=READER)
+        from_snapshot.apply(*grant(WriterId("one"), 400), ordered=False)
+        from_snapshot.apply(*grant(WriterId("three"), 300))
+        from_snapshot.apply(*grant(WriterId("one"), 100))
+        self.assertEqual(from_snapshot.wanted_by_others(PROGRAM, math.inf), 400)
 
-    def test_late_views_never_count_less(self) -> None:
-        """Count at least what the log grants, wherever a view begins."""
+    def test_snapshot_never_counts_less_than_the_log(self) -> None:
+        """Count at least what the log grants, wherever the snapshot is taken."""
         for seed in SEEDS:
             rng = random.Random(seed)
             records = [
                 grant(rng.choice(WRITERS), rng.randrange(0, BUDGET, 40))
                 for _ in range(RECORDS)
             ]
-            begin = rng.randrange(RECORDS)
-            exact = LedgerState(writer=READER)
-            late = LedgerState(writer=READER)
-            for key, value in records[:begin]:
-                exact.apply(key, value)
-            newest = dict(records[:begin])
+            split = rng.randrange(RECORDS)
+            complete = LedgerState(writer=READER)
+            from_snapshot = LedgerState(writer=READER)
+            for key, value in records[:split]:
+                complete.apply(key, value)
+            newest = dict(records[:split])
             for key, value in newest.items():
-                late.apply(key, value, ordered=False)
-            for key, value in itertools.islice(records, begin, None):
-                exact.apply(key, value)
-                late.apply(key, value)
+                from_snapshot.apply(key, value, ordered=False)
+            for key, value in itertools.islice(records, split, None):
+                complete.apply(key, value)
+                from_snapshot.apply(key, value)
                 for writer in WRITERS:
-                    counted = late.granted(PROGRAM, writer)
-                    held = exact.granted(PROGRAM, writer)
+                    counted = from_snapshot.granted(PROGRAM, writer)
+                    held = complete.granted(PROGRAM, writer)
                     self.assertGreaterEqual(counted, held, (seed, writer))
--- a/sequoiaarch/tests/ledger/sessions_tests.py
+++ b/sequoiaarch/tests/ledger/superseded_turns_tests.py
@@ -1,4 +1,4 @@
-"""Play turns of which some are given up by their caller, by seed."""
+"""Simulate turns that are superseded by later ones of their session."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class _Turn:
-    """Relay a turn as a gateway does, which asks only for what it was not told."""
+    """Relay a turn as a gateway does, asking only for tokens that are not covered."""
 
     def __init__(self, *, hold: Reservation) -> None:
         self.hold = hold
-        self.handed = 0
-        self.told = hold.covered
+        self.used = 0
+        self.covered = hold.covered
 
     @property
     def session(self) -> SessionId:
@@ -33,17 +33,17 @@
         return self.hold.terms.session
 
     async def send(self, tokens: int) -> bool:
-        """Hand out tokens if they are covered."""
-        if self.told is not None and self.handed + tokens > self.told:
-            if not await self.hold.cover(self.handed + tokens):
+        """Send tokens if they are covered."""
+        if self.covered is not None and self.used + tokens > self.covered:
+            if not await self.hold.cover(self.used + tokens):
                 return False
-            self.told = self.hold.covered
-        self.handed += tokens
+            self.covered = self.hold.covered
+        self.used += tokens
         self.hold.record_usage(tokens)
         return True
 
 
-class _World:
+class _Simulation:
     """Run turns of one program in the process that keeps its account."""
 
     def __init__(self, *, seed: int) -> None:
@@ -57,18 +57,18 @@
         self.count = 0
         self.running: list[_Turn] = []
         self.newest: dict[SessionId, _Turn] = {}
-        self.handed = 0
+        self.used = 0
 
     async def step(self) -> None:
-        """Begin a turn, have one hand out tokens, or end one."""
-        kind = self.rng.randrange(8)
-        if kind == 0 or not self.running:
+        """Begin a turn, send tokens of one, or end one."""
+        action = self.rng.randrange(8)
+        if action == 0 or not self.running:
             await self._begin()
-        elif kind == 1:
+        elif action == 1:
             turn = self.running.pop(self.rng.randrange(len(self.running)))
             turn.hold.close()
         else:
-            await self._hand_out(self.rng.choice(self.running))
+            await self._send(self.rng.choice(self.running))
 
     async def _begin(self) -> None:
         self.count += 1
@@ -88,38 +88,38 @@
         self.running.append(turn)
         self.newest[turn.session] = turn
 
-    async def _hand_out(self, turn: _Turn) -> None:
-        tokens = min(self.rng.randint(1, 30), MOST - turn.handed)
+    async def _send(self, turn: _Turn) -> None:
+        tokens = min(self.rng.randint(1, 30), MOST - turn.used)
         if await turn.send(tokens):
-            self.handed += tokens
+            self.used += tokens
         else:
-            assert self._given_up(turn), turn.hold.terms
-            assert turn.told is not None
-            short = turn.handed + tokens - turn.told
+            assert self._is_superseded(turn), turn.hold.terms
+            assert turn.covered is not None
+            missing = turn.used + tokens - turn.covered
             account = self.ledger._budgets._accounts[PROGRAM]
-            assert account.wanted + short > self.budget, (turn.hold.terms, short)
+            assert account.wanted + missing > self.budget, (turn.hold.terms, missing)
         granted = self.ledger.partition(PROGRAM).state.granted(
             PROGRAM, self.ledger.writer
         )
-        assert self.handed <= granted <= self.budget, (self.handed, granted)
+        assert self.used <= granted <= self.budget, (self.used, granted)
 
-    def _given_up(self, turn: _Turn) -> bool:
-        """Return whether the caller has begun another turn of the session."""
+    def _is_superseded(self, turn: _Turn) -> bool:
+        """Return whether the caller has begun a later turn of the session."""
         return turn.session != "" and self.newest[turn.session] is not turn
 
 
-class SessionsTests(unittest.IsolatedAsyncioTestCase):
-    """Run seeded worlds."""
+class SupersededTurnsTests(unittest.IsolatedAsyncioTestCase):
+    """Run seeded simulations."""
 
-    async def test_only_what_was_given_up_is_cut(self) -> None:
-        """Cut no turn but one that its caller gave up, where the budget lacks the rest.
+    async def test_only_superseded_turns_are_cut_off(self) -> None:
+        """Cut off only superseded turns, and only if the budget is too small.
 
-        Turns of several sessions run at once in budgets of one to six turns. At no
-        time is more handed out than the log grants.
+        Turns of several sessions run concurrently on budgets of one to six turns. The
+        log grants at least what is used, at any time.
         """
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                world = _World(seed=seed)
+                simulation = _Simulation(seed=seed)
                 for _ in range(STEPS):
-                    await world.step()
-                await world.ledger.close()
+                    await simulation.step()
+                await simulation.ledger.close()
--- a/sequoiaarch/tests/ledger/sweeper_tests.py
+++ b/sequoiaarch/tests/ledger/sweeper_tests.py
@@ -1,4 +1,4 @@
-"""Test that records of ended programs go, and no others."""
+"""Test that only records of ended programs are removed."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 PROGRAM = ProgramId("program")
 WRITER = WriterId("writer")
 RETENTION = 60.0
-LONG_ENOUGH = RETENTION + GRACE_PERIOD + 1
+EXPIRY = RETENTION + GRACE_PERIOD + 1
 
 
 def turn() -> bytes:
-    """Return a turn's record."""
+    """Return an encoded turn record."""
     return encode_record(
         TurnRecord(
             program=PROGRAM,
@@ -37,7 +37,7 @@
 
 
 def grant() -> bytes:
-    """Return a grant's record."""
+    """Return an encoded grant record."""
     return encode_record(
         GrantRecord(
             program=PROGRAM,
@@ -51,10 +51,10 @@
 
 
 class SweeperTests(unittest.IsolatedAsyncioTestCase):
-    """Visit partitions of a stand-in."""
+    """Visit partitions of a stand-in store."""
 
     async def asyncSetUp(self) -> None:
-        """Make the store and a sweeper whose clock the test moves."""
+        """Create the store and a sweeper with a manual clock."""
         self.store = KeyedStore()
         self.client = self.store.client()
         self.partition_map = PartitionMap(per_topic=2)
@@ -63,7 +63,7 @@
         self.sweeper = self.make_sweeper(self.client)
 
     def make_sweeper(self, client: KeyedStoreClient) -> Sweeper:
-        """Return a sweeper of a process."""
+        """Return the sweeper of one process."""
         return Sweeper(
             log=client,
             partition_map=self.partition_map,
@@ -72,75 +72,67 @@
             clock=lambda: self.now,
         )
 
-    def kept(self) -> set[str]:
-        """Return the keys that the partition still holds."""
+    def remaining_keys(self) -> set[str]:
+        """Return the keys that are left in the partition."""
         return {one.key for one in self.store.newest(self.partition).records}
 
-    async def test_ended_program(self) -> None:
-        """Drop turns and grants together once nothing came for long enough."""
+    async def test_ended_program_is_removed(self) -> None:
+        """Remove turns and grants together after the retention."""
         await self.store.add(self.partition, "t1", turn())
         await self.store.add(self.partition, grant_key(PROGRAM, WRITER), grant())
         self.assertEqual(await self.sweeper.visit(self.partition), 0)
-        self.now += LONG_ENOUGH
+        self.now += EXPIRY
         self.assertEqual(await self.sweeper.visit(self.partition), 2)
-        self.assertEqual(self.kept(), set())
+        self.assertEqual(self.remaining_keys(), set())
 
-    async def test_program_that_goes_on(self) -> None:
-        """Keep the first turn of a program as long as the program goes on.
-
-        Each turn comes before the retention of the one before has passed. The
-        first one is older than that by far, and every later prompt needs it.
-        """
+    async def test_running_program_is_kept(self) -> None:
+        """Keep the first turn of a program that goes on, as later prompts need it."""
         for number in range(5):
             await self.store.add(self.partition, f"t{number}", turn())
             self.assertEqual(await self.sweeper.visit(self.partition), 0)
             self.now += RETENTION
-        self.assertIn("t0", self.kept())
-
-    async def test_written_between_look_and_removal(self) -> None:
-        """Keep a program that comes back while its records are being removed.
+        self.assertIn("t0", self.remaining_keys())
 
-        The sweeper has seen that a program wrote nothing for long enough. The
-        program's next turn is committed before the removal reaches the store.
-        """
+    async def test_program_written_during_removal_is_kept(self) -> None:
+        """Keep a program whose next turn is committed just before its removal."""
         await self.store.add(self.partition, "t1", turn())
         await self.sweeper.visit(self.partition)
-        self.now += LONG_ENOUGH
+        self.now += EXPIRY
         store, partition = self.store, self.partition
 
-        class _Racing(KeyedStoreClient):
-            async def append_at(self, place, records, *, end):  # type: ignore[no-untyped-def]
+        class _RacingClient(KeyedStoreClient):
+            async def append_at(self, log_partition, records, *, end):  # type: ignore[no-untyped-def]
                 await store.add(partition, "t2", turn())
-                return await super().append_at(place, records, end=end)
+                return await super().append_at(log_partition, records, end=end)
 
-        racing = self.make_sweeper(_Racing(store=store))
+        racing = self.make_sweeper(_RacingClient(store=store))
         racing._states = self.sweeper._states
         self.assertEqual(await racing.visit(self.partition), 0)
-        self.assertEqual(self.kept(), {"t1", "t2"})
+        self.assertEqual(self.remaining_keys(), {"t1", "t2"})
 
-    async def test_index(self) -> None:
-        """Drop each entry of the index by itself."""
-        place = self.partition_map.of_turn(TurnId("t1"))
+    async def test_index_records_expire_separately(self) -> None:
+        """Remove each index record on its own."""
+        partition = self.partition_map.of_turn(TurnId("t1"))
         entry = encode_record(IndexRecord(program=PROGRAM, retention=RETENTION))
-        await self.store.add(place, "t1", entry)
-        await self.sweeper.visit(place)
-        self.now += LONG_ENOUGH
-        await self.store.add(place, "t2", entry)
-        self.assertEqual(await self.sweeper.visit(place), 1)
-        kept = {one.key for one in self.store.newest(place).records}
-        self.assertEqual(kept, {"t2"})
-
-    async def test_store_away(self) -> None:
+        await self.store.add(partition, "t1", entry)
+        await self.sweeper.visit(partition)
+        self.now += EXPIRY
+        await self.store.add(partition, "t2", entry)
+        self.assertEqual(await self.sweeper.visit(partition), 1)
+        remaining_keys = {one.key for one in self.store.newest(partition).records}
+        self.assertEqual(remaining_keys, {"t2"})
+
+    async def test_nothing_is_removed_while_store_is_down(self) -> None:
         """Remove nothing while the store can't be read."""
         await self.store.add(self.partition, "t1", turn())
         await self.sweeper.visit(self.partition)
-        self.now += LONG_ENOUGH
+        self.now += EXPIRY
         self.client.faults.down = True
         self.assertEqual(await self.sweeper.visit(self.partition), 0)
-        self.assertEqual(self.kept(), {"t1"})
+        self.assertEqual(self.remaining_keys(), {"t1"})
 
-    def test_part_of_each_process(self) -> None:
-        """Visit a share that makes the whole together with the other processes."""
-        part = self.sweeper.sample_partitions()
-        self.assertEqual(len(part), len(self.partition_map.all_partitions) // 4)
-        self.assertEqual(len(set(part)), len(part))
+    def test_sample_size_follows_process_count(self) -> None:
+        """Sample so many partitions that all processes together cover them."""
+        sample = self.sweeper.sample_partitions()
+        self.assertEqual(len(sample), len(self.partition_map.all_partitions) // 4)
+        self.assertEqual(len(set(sample)), len(sample))
--- a/sequoiaarch/tests/ledger/turns_tests.py
+++ b/sequoiaarch/tests/ledger/turns_tests.py
@@ -1,4 +1,4 @@
-"""Test that a turn returns its budget however its caller leaves."""
+"""Test that a turn releases its budget however its caller leaves."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 PROGRAM = ProgramId("program")
 MOST = 100
-# The store answers after this time, in seconds.
+# Response time of the store, in seconds.
 DELAY = 0.05
 
 
@@ -30,30 +30,30 @@
 
 
 def start(turn: str, budget: int) -> TurnStart:
-    """Return a turn that begins a chain."""
+    """Return a turn that starts a new history."""
     return TurnStart(terms=terms(turn, budget), previous=None, kept=True, lifetime=60.0)
 
 
-class _Caller:
-    """Leave in the same loop iteration in which the grant arrives."""
+class _LeavingCaller:
+    """Caller that leaves in the loop iteration in which the grant arrives."""
 
     def __init__(self, *, ledger: Ledger) -> None:
         self._reserve = ledger.reserve
         self.task: asyncio.Task[object] | None = None
 
-    async def reserve(self, asked: TurnTerms) -> Reservation | BudgetVerdict:
-        """Reserve, and have the caller leave before it can see the answer."""
-        found = await self._reserve(asked)
+    async def reserve(self, turn_terms: TurnTerms) -> Reservation | BudgetVerdict:
+        """Reserve, and cancel the caller before it can see the answer."""
+        found = await self._reserve(turn_terms)
         assert self.task is not None
         asyncio.get_running_loop().call_soon(self.task.cancel)
         return found
 
 
 class TurnsTestCase(unittest.IsolatedAsyncioTestCase):
-    """Hold a store and ledgers of several processes on it."""
+    """Set up a store and the ledgers of several processes."""
 
     async def asyncSetUp(self) -> None:
-        """Make the store."""
+        """Create the store."""
         self.store = KeyedStore()
 
     def process(self, name: str, *, delay: float = 0.0) -> tuple[Ledger, LocalTurns]:
@@ -67,26 +67,23 @@
         return ledger, LocalTurns(ledger=ledger)
 
 
-class LeavingTests(TurnsTestCase):
-    """Return what was reserved for callers that have left."""
+class CallerLeavesTests(TurnsTestCase):
+    """Release what was reserved for callers that have left."""
 
     async def test_caller_leaves_as_the_grant_arrives(self) -> None:
-        """Return a grant whose caller leaves in the same moment.
+        """Release a grant whose caller leaves as it arrives.
 
-        A caller waits for its turn while the store is slow, and leaves just as the
-        answer comes. Nobody has the turn then, so nobody ends it. Its part of the
-        budget stays held, and a program whose budget holds one more turn is refused
-        through every process.
+        Otherwise nobody ends the turn, and its tokens stay reserved for good.
         """
         budget = MOST + 20
-        for patience in (DELAY / 5, 10 * DELAY):
+        for open_timeout in (DELAY / 5, 10 * DELAY):
             with (
-                self.subTest(patience=patience),
-                mock.patch.object(turns_module, "LOG_TIMEOUT", patience),
+                self.subTest(open_timeout=open_timeout),
+                mock.patch.object(turns_module, "LOG_TIMEOUT", open_timeout),
             ):
                 self.store = KeyedStore()
                 ledger, turns = self.process("a", delay=DELAY)
-                caller = _Caller(ledger=ledger)
+                caller = _LeavingCaller(ledger=ledger)
                 with mock.patch.object(ledger, "reserve", caller.reserve):
                     caller.task = asyncio.create_task(turns.open(start("t1", budget)))
                     await asyncio.wait([caller.task])
@@ -96,12 +93,10 @@
                 found = await other.reserve(terms("t2", budget))
                 self.assertIsInstance(found, Reservation)
 
-    async def test_turn_ends_while_it_borrows(self) -> None:
-        """Settle a loan that comes after the end of its turn.
+    async def test_loan_is_settled_after_turn_has_ended(self) -> None:
+        """Settle a loan that arrives after the end of its turn.
 
-        The log is late, a lender is asked, and the caller leaves meanwhile. The
-        turn was closed before the loan arrives. A loan that nobody settles counts as
-        handed out at its most, and later turns are refused for it.
+        An unsettled loan counts in full, and later turns would be refused for it.
         """
         lender = SlowLender()
         budget = 10 * MOST
@@ -116,42 +111,39 @@
                 ledger=ledger,
                 lender=lender,
             )
-            asking = asyncio.create_task(turn.verdict())
+            verdict_task = asyncio.create_task(turn.verdict())
             await lender.asked.wait()
             turn.close()
             lender.answer.set()
-            await asking
+            await verdict_task
         self.assertTrue(lender.loans)
         self.assertTrue(all(loan.closed for loan in lender.loans))
 
 
 class ReservationTests(TurnsTestCase):
-    """Hold a part of the budget for each opening of a turn."""
+    """Reserve separately for each opening of a turn."""
 
-    async def test_one_turn_is_opened_twice(self) -> None:
-        """Hold the budget for each opening of a turn until just that one ends.
+    async def test_turn_opened_twice_has_two_reservations(self) -> None:
+        """Keep the second reservation of a turn when the first is closed.
 
-        A turn is asked for a second time while its first opening is still held.
-        The first one is closed. What the second one may hand out must stay held: it
-        goes on, and other processes grant what seems to be free to other turns.
-        Together they hand out more than the budget.
+        Otherwise other processes are granted its tokens, and the budget is exceeded.
         """
         budget = 2 * MOST + 20
         ledger, _ = self.process("a")
         other, _ = self.process("b")
         first = await ledger.reserve(terms("t1", budget))
-        again = await ledger.reserve(terms("t1", budget))
-        assert isinstance(first, Reservation) and isinstance(again, Reservation)
+        second = await ledger.reserve(terms("t1", budget))
+        assert isinstance(first, Reservation) and isinstance(second, Reservation)
         first.close()
         await ledger.flush()
-        running = [again]
+        running = [second]
         for name in ("u1", "u2"):
             found = await other.reserve(terms(name, budget))
             if isinstance(found, Reservation):
                 running.append(found)
-        handed = 0
+        used = 0
         for hold in running:
             if hold.covered is None or await hold.cover(MOST):
                 hold.record_usage(MOST)
-                handed += MOST
-        self.assertEqual(handed, 2 * MOST)
+                used += MOST
+        self.assertEqual(used, 2 * MOST)
