--- a/sequoiaarch/tests/ledger/crash_tests.py
+++ b/sequoiaarch/tests/ledger/crash_tests.py
@@ -218,13 +218,13 @@
         ):
             with self.subTest(split=split, budget=budget, count=(count, processes)):
                 program = Program(budget=budget, split=split)
-                places = [program.process() for _ in range(processes)]
+                pool = [program.process() for _ in range(processes)]
                 begun = await asyncio.gather(
-                    *(program.begin(places[n % processes]) for n in range(count))
+                    *(program.begin(pool[n % processes]) for n in range(count))
                 )
-                turns = [one for one in begun if isinstance(one, Reservation)]
-                await asyncio.gather(*(program.use_tokens(one, 200) for one in turns))
-                await asyncio.gather(*(one.ledger.flush() for one in places))
+                turns = [each for each in begun if isinstance(each, Reservation)]
+                await asyncio.gather(*(program.use_tokens(turn, 200) for turn in turns))
+                await asyncio.gather(*(process.ledger.flush() for process in pool))
                 await program.crash_all()
                 await self.check_continues(program)
                 await program.close()
--- a/sequoiaarch/tests/ledger/grant_interleaving_tests.py
+++ b/sequoiaarch/tests/ledger/grant_interleaving_tests.py
@@ -65,23 +65,23 @@
         """Return all state on which later steps depend."""
         starts = [
             (
-                one.writer,
-                one.started_at,
-                one.cursor,
-                one.turn,
-                one.reserved,
-                one.remaining,
+                process.writer,
+                process.started_at,
+                process.cursor,
+                process.turn,
+                process.reserved,
+                process.remaining,
             )
-            + (one.granted, one.used)
-            for one in self.processes.values()
+            + (process.granted, process.used)
+            for process in self.processes.values()
         ]
         return tuple(self.log), tuple(starts), self.used
 
     def process(self, name: str) -> _Process:
         """Return a process; a new one starts from a snapshot of the newest records."""
-        found = self.processes.get(name)
-        if found is not None:
-            return found
+        existing = self.processes.get(name)
+        if existing is not None:
+            return existing
         self.starts += 1
         writer = WriterId(f"{name}{self.starts}")
         # A new process has no grants.
@@ -215,7 +215,7 @@
 
     def test_check_detects_use_of_unconfirmed_grants(self) -> None:
         """Exceed the budget if processes do not wait for the log."""
-        found = any(
+        exceeded = any(
             simulation.used > BUDGET for _, simulation in _simulations(unchecked=True)
         )
-        self.assertTrue(found)
+        self.assertTrue(exceeded)
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -43,9 +43,9 @@
     )
 
 
-def prompt(found: History | LookupFailure) -> bytes | LookupFailure:
+def prompt(result: History | LookupFailure) -> bytes | LookupFailure:
     """Return the bytes of a history that was found."""
-    return found.prompt if isinstance(found, History) else found
+    return result.prompt if isinstance(result, History) else result
 
 
 class LedgerTestCase(unittest.IsolatedAsyncioTestCase):
@@ -81,9 +81,9 @@
         self, ledger: Ledger, turn: str, *, program: ProgramId = PROGRAM
     ) -> Reservation:
         """Reserve a turn, which must fit."""
-        found = await ledger.reserve(terms(turn, program=program))
-        assert isinstance(found, Reservation)
-        return found
+        result = await ledger.reserve(terms(turn, program=program))
+        assert isinstance(result, Reservation)
+        return result
 
     async def commit(
         self,
@@ -114,8 +114,8 @@
         first = await self.ledger("a")
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in1", b"out1")
-        found = await second.history(PROGRAM, TurnId("t1"))
-        self.assertEqual(prompt(found), b"in1out1")
+        result = await second.history(PROGRAM, TurnId("t1"))
+        self.assertEqual(prompt(result), b"in1out1")
 
     async def test_branches_have_separate_histories(self) -> None:
         """Continue one turn twice; each branch has its own history."""
@@ -123,16 +123,16 @@
         await self.commit(ledger, "t1", None, b"a", b"b")
         await self.commit(ledger, "t2", "t1", b"c", b"d")
         await self.commit(ledger, "t3", "t1", b"e", b"f")
-        found = await ledger.history(PROGRAM, TurnId("t2"))
-        self.assertEqual(prompt(found), b"abcd")
-        found = await ledger.history(PROGRAM, TurnId("t3"))
-        self.assertEqual(prompt(found), b"abef")
+        result = await ledger.history(PROGRAM, TurnId("t2"))
+        self.assertEqual(prompt(result), b"abcd")
+        result = await ledger.history(PROGRAM, TurnId("t3"))
+        self.assertEqual(prompt(result), b"abef")
 
     async def test_unknown_turn_is_absent(self) -> None:
         """Report a turn as absent once the log was read to its end."""
         ledger = await self.ledger("a")
-        found = await ledger.history(PROGRAM, TurnId("nothing"))
-        self.assertIs(found, LookupFailure.ABSENT)
+        result = await ledger.history(PROGRAM, TurnId("nothing"))
+        self.assertIs(result, LookupFailure.ABSENT)
 
     async def test_lookup_is_uncertain_while_store_is_down(self) -> None:
         """Report an uncertain result, not absence, while the log can't be read.
@@ -143,8 +143,8 @@
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in", b"out")
         self.clients["b"].faults.down = True
-        found = await second.history(PROGRAM, TurnId("t1"))
-        self.assertIs(found, LookupFailure.UNCERTAIN)
+        result = await second.history(PROGRAM, TurnId("t1"))
+        self.assertIs(result, LookupFailure.UNCERTAIN)
 
     async def test_turn_survives_loss_of_all_processes(self) -> None:
         """Find a turn after all processes were lost and the log was compacted."""
@@ -153,8 +153,8 @@
         await self.commit(first, "t2", "t1", b"in2", b"out2")
         self.store.forget_history()
         fresh = await self.ledger("b")
-        found = await fresh.history(PROGRAM, TurnId("t2"))
-        self.assertEqual(prompt(found), b"in1out1in2out2")
+        result = await fresh.history(PROGRAM, TurnId("t2"))
+        self.assertEqual(prompt(result), b"in1out1in2out2")
 
     async def test_unread_turn_is_found_after_compaction(self) -> None:
         """Find a turn that was compacted before this process read it."""
@@ -162,8 +162,8 @@
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in", b"out")
         self.store.forget_history()
-        found = await second.history(PROGRAM, TurnId("t1"))
-        self.assertEqual(prompt(found), b"inout")
+        result = await second.history(PROGRAM, TurnId("t1"))
+        self.assertEqual(prompt(result), b"inout")
 
     async def test_other_program_continues_a_turn(self) -> None:
         """Find a turn for another program, in whatever partition that is."""
@@ -172,8 +172,8 @@
         await self.commit(first, "t1", None, b"in", b"out")
         for number in range(8):
             other = ProgramId(f"other-{number}")
-            found = await second.history(other, TurnId("t1"))
-            self.assertEqual(prompt(found), b"inout")
+            result = await second.history(other, TurnId("t1"))
+            self.assertEqual(prompt(result), b"inout")
 
     async def test_delayed_duplicate_of_a_commit(self) -> None:
         """Keep a turn whose append lost its answer and is carried out late.
@@ -187,8 +187,8 @@
         await self.commit(first, "t2", "t1", b"in2", b"out2")
         await asyncio.sleep(0.25)
         fresh = await self.ledger("b")
-        found = await fresh.history(PROGRAM, TurnId("t2"))
-        self.assertEqual(prompt(found), b"inoutin2out2")
+        result = await fresh.history(PROGRAM, TurnId("t2"))
+        self.assertEqual(prompt(result), b"inoutin2out2")
 
     async def test_copied_history_outlives_its_program(self) -> None:
         """Keep a history that a second program continues after the first has ended.
@@ -200,13 +200,15 @@
         await self.commit(first, "t1", None, b"in", b"out")
         second = await self.ledger("b")
         other = ProgramId("other")
-        found = await second.history(other, TurnId("t1"))
-        assert isinstance(found, History)
-        self.assertFalse(found.own)
+        result = await second.history(other, TurnId("t1"))
+        assert isinstance(result, History)
+        self.assertFalse(result.own)
         reservation = await second.reserve(terms("u1", program=other))
         assert isinstance(reservation, Reservation)
         await reservation.verdict()
-        content = TurnContent(parent=None, base=found.prompt, given=b"+", produced=b"!")
+        content = TurnContent(
+            parent=None, base=result.prompt, given=b"+", produced=b"!"
+        )
         await second.commit(reservation, content)
         await second.write_index(reservation.terms)
         await self.store.add(second.partition_map.of_program(PROGRAM), "t1", b"")
@@ -220,8 +222,8 @@
         await self.commit(ledger, "t1", None, b"in", b"out")
         ledger.partition(PROGRAM).drop_turns()
         self.assertEqual(ledger.turns, 0)
-        found = await ledger.history(PROGRAM, TurnId("t1"))
-        self.assertEqual(prompt(found), b"inout")
+        result = await ledger.history(PROGRAM, TurnId("t1"))
+        self.assertEqual(prompt(result), b"inout")
 
     async def test_start_reads_only_the_needed_partition(self) -> None:
         """Read a single partition to continue a turn after a restart.
@@ -235,8 +237,8 @@
             await self.commit(first, f"t{number}", None, b"in", b"out", program=program)
         reads = self.store.listings
         fresh = await self.ledger("b", per_topic=12)
-        found = await fresh.history(ProgramId("program-7"), TurnId("t7"))
-        self.assertEqual(prompt(found), b"inout")
+        result = await fresh.history(ProgramId("program-7"), TurnId("t7"))
+        self.assertEqual(prompt(result), b"inout")
         self.assertEqual(self.store.listings - reads, 1)
 
 
@@ -245,14 +247,14 @@
 
     async def run_turn(self, ledger: Ledger, turn: str, tokens: int) -> BudgetVerdict:
         """Run a turn that uses `tokens`, and return whether it fitted."""
-        found = await ledger.reserve(terms(turn))
-        if isinstance(found, BudgetVerdict):
-            return found
-        verdict = await found.verdict()
+        result = await ledger.reserve(terms(turn))
+        if isinstance(result, BudgetVerdict):
+            return result
+        verdict = await result.verdict()
         if verdict is BudgetVerdict.FITS:
-            self.assertTrue(await found.cover(tokens))
-            found.record_usage(tokens)
-        found.close()
+            self.assertTrue(await result.cover(tokens))
+            result.record_usage(tokens)
+        result.close()
         return verdict
 
     async def test_parallel_turns_on_two_processes_share_a_budget(self) -> None:
@@ -264,13 +266,13 @@
         wanted = 2 * BUDGET // MOST
 
         async def run_one(number: int) -> bool:
-            found = await ledgers[number % 2].reserve(terms(f"t{number}"))
-            if not isinstance(found, Reservation):
+            result = await ledgers[number % 2].reserve(terms(f"t{number}"))
+            if not isinstance(result, Reservation):
                 return False
-            if await found.verdict() is not BudgetVerdict.FITS:
+            if await result.verdict() is not BudgetVerdict.FITS:
                 return False
-            self.assertTrue(await found.cover(MOST), "cut off although it fits")
-            found.record_usage(MOST)
+            self.assertTrue(await result.cover(MOST), "cut off although it fits")
+            result.record_usage(MOST)
             return True
 
         results = await asyncio.gather(*(run_one(number) for number in range(wanted)))
@@ -305,8 +307,8 @@
         # Before this deadline the turn is refused as held, since a live process may
         # release the tokens.
         with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
-            found = await fresh.reserve(small_terms("t3"))
-        self.assertIsInstance(found, Reservation)
+            result = await fresh.reserve(small_terms("t3"))
+        self.assertIsInstance(result, Reservation)
 
     async def test_raised_grant_of_a_lost_process_counts_as_spent(self) -> None:
         """Count all raised grants of a lost process as spent, as its turn used them."""
@@ -465,8 +467,8 @@
 
         await write_other_grant(30, 30)
         with mock.patch.object(client, "append", append_between_grants):
-            found = await ledger.reserve(small)
-        self.assertIs(found, BudgetVerdict.HELD)
+            result = await ledger.reserve(small)
+        self.assertIs(result, BudgetVerdict.HELD)
         again = msgspec.structs.replace(small, turn=TurnId("t2"))
         self.assertIsInstance(await ledger.reserve(again), Reservation)
 
@@ -491,8 +493,8 @@
         for number in range(BUDGET // MOST):
             await (await self.reserved(first, f"t{number}")).verdict()
         fresh = await self.ledger("b")
-        found = await fresh.reserve(terms("another"))
-        self.assertIn(found, (BudgetVerdict.EXCEEDED, BudgetVerdict.HELD))
+        result = await fresh.reserve(terms("another"))
+        self.assertIn(result, (BudgetVerdict.EXCEEDED, BudgetVerdict.HELD))
 
     async def test_successive_processes_stay_within_the_budget(self) -> None:
         """Use no more than the budget on processes that replace each other.
@@ -522,8 +524,8 @@
             while first.partition(PROGRAM).state.granted(PROGRAM, first.writer) > 30:
                 await asyncio.sleep(0.02)
         for number in range((BUDGET - 30) // MOST):
-            found = await second.reserve(terms(f"u{number}"))
-            self.assertIsInstance(found, Reservation, number)
+            result = await second.reserve(terms(f"u{number}"))
+            self.assertIsInstance(result, Reservation, number)
 
     async def test_unused_tokens_of_ended_turns_survive_crashes(self) -> None:
         """Admit turns of a small budget on processes that crash after each turn.
@@ -543,12 +545,12 @@
 
         for run in range(6):
             ledger = await self.ledger(f"life-{run}")
-            found = await ledger.reserve(small_terms(f"t{run}"))
-            assert isinstance(found, Reservation), (run, found)
-            self.assertIs(await found.verdict(), BudgetVerdict.FITS)
-            found.record_usage(20)
+            result = await ledger.reserve(small_terms(f"t{run}"))
+            assert isinstance(result, Reservation), (run, result)
+            self.assertIs(await result.verdict(), BudgetVerdict.FITS)
+            result.record_usage(20)
             content = TurnContent(parent=None, given=b"", produced=b"")
-            await ledger.commit(found, content)
+            await ledger.commit(result, content)
             await ledger.close()
 
     async def test_one_store_call_per_turn(self) -> None:
@@ -622,8 +624,8 @@
                 ledger.partition(PROGRAM).forget()
         self.assertLessEqual(ran * 70, BUDGET)
         fresh = await self.ledger("b")
-        found = await fresh.reserve(terms("u"))
-        self.assertFalse(isinstance(found, Reservation) and ran * 70 > BUDGET - MOST)
+        result = await fresh.reserve(terms("u"))
+        self.assertFalse(isinstance(result, Reservation) and ran * 70 > BUDGET - MOST)
 
     async def test_first_grant_needs_no_read(self) -> None:
         """Tell from the offset of the append that a grant is valid, without a read."""
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -257,11 +257,13 @@
 
     def book(self, claim: str) -> LoanBook:
         """Return the loan book of the process that made a claim."""
-        found = self.books.get(claim)
-        if found is None:
+        existing = self.books.get(claim)
+        if existing is None:
             carried = lambda program: self.carried  # noqa: E731
-            found = self.books[claim] = LoanBook(split=LendingSplit(), carried=carried)
-        return found
+            existing = self.books[claim] = LoanBook(
+                split=LendingSplit(), carried=carried
+            )
+        return existing
 
 
 class InterleavingTests(unittest.TestCase):
--- a/sequoiaarch/tests/ledger/sweeper_tests.py
+++ b/sequoiaarch/tests/ledger/sweeper_tests.py
@@ -74,7 +74,7 @@
 
     def remaining_keys(self) -> set[str]:
         """Return the keys that are left in the partition."""
-        return {one.key for one in self.store.newest(self.partition).records}
+        return {record.key for record in self.store.newest(self.partition).records}
 
     async def test_ended_program_is_removed(self) -> None:
         """Remove turns and grants together after the retention."""
@@ -119,7 +119,7 @@
         self.now += EXPIRY
         await self.store.add(partition, "t2", entry)
         self.assertEqual(await self.sweeper.visit(partition), 1)
-        remaining_keys = {one.key for one in self.store.newest(partition).records}
+        remaining_keys = {record.key for record in self.store.newest(partition).records}
         self.assertEqual(remaining_keys, {"t2"})
 
     async def test_nothing_is_removed_while_store_is_down(self) -> None:
--- a/sequoiaarch/tests/ledger/turns_tests.py
+++ b/sequoiaarch/tests/ledger/turns_tests.py
@@ -43,10 +43,10 @@
 
     async def reserve(self, turn_terms: TurnTerms) -> Reservation | BudgetVerdict:
         """Reserve, and cancel the caller before it can see the answer."""
-        found = await self._reserve(turn_terms)
+        result = await self._reserve(turn_terms)
         assert self.task is not None
         asyncio.get_running_loop().call_soon(self.task.cancel)
-        return found
+        return result
 
 
 class TurnsTestCase(unittest.IsolatedAsyncioTestCase):
@@ -90,8 +90,8 @@
                 self.assertTrue(caller.task.cancelled())
                 await ledger.flush()
                 other, _ = self.process("b")
-                found = await other.reserve(terms("t2", budget))
-                self.assertIsInstance(found, Reservation)
+                result = await other.reserve(terms("t2", budget))
+                self.assertIsInstance(result, Reservation)
 
     async def test_loan_is_settled_after_turn_has_ended(self) -> None:
         """Settle a loan that arrives after the end of its turn.
@@ -138,9 +138,9 @@
         await ledger.flush()
         running = [second]
         for name in ("u1", "u2"):
-            found = await other.reserve(terms(name, budget))
-            if isinstance(found, Reservation):
-                running.append(found)
+            result = await other.reserve(terms(name, budget))
+            if isinstance(result, Reservation):
+                running.append(result)
         used = 0
         for hold in running:
             if hold.covered is None or await hold.cover(MOST):
