--- a/sequoiaarch/ledger/state.py
+++ b/sequoiaarch/ledger/state.py
@@ -32,7 +32,7 @@
     others: tuple[Grant, ...] | None = None
 
     def wanted_since(self, since: float) -> int:
-        """Return the demand of the writer; only its grant if not updated `since`."""
+        """Return the demand, or only the grant if last updated before `since`."""
         return (
             max(self.tokens, self.wanted) if self.updated_at >= since else self.tokens
         )
--- a/sequoiaarch/tests/ledger/budget_invariant_tests.py
+++ b/sequoiaarch/tests/ledger/budget_invariant_tests.py
@@ -37,7 +37,7 @@
     async def play(self) -> None:
         """Run all steps, and check the budget after each."""
         steps = [self._begin, self._begin_together, self._use_tokens, self._use_tokens]
-        steps += [self._end, self._end_asking, self._close]
+        steps += [self._end, self._end_with_pending_raise, self._close]
         steps += [self._crash_one, self._crash_all]
         for _ in range(STEP_COUNT):
             step = self.rng.choice(steps)
@@ -58,9 +58,9 @@
 
     async def _begin_together(self) -> None:
         """Begin turns concurrently; refused ones must not keep any tokens."""
-        openings = [self.program.begin(index) for index in self.processes]
+        openings = [self.program.begin(process) for process in self.processes]
         await asyncio.gather(*openings)
-        await asyncio.gather(*(index.ledger.flush() for index in self.processes))
+        await asyncio.gather(*(process.ledger.flush() for process in self.processes))
 
     async def _use_tokens(self) -> None:
         turn = self._random_turn()
@@ -79,17 +79,17 @@
         if turn is not None:
             await self.program.end(turn)
 
-    async def _end_asking(self) -> None:
+    async def _end_with_pending_raise(self) -> None:
         """End a turn that has a raise to its maximum pending."""
         turn = self._random_turn()
         if turn is None:
             return
-        asking = asyncio.create_task(turn.cover(MOST))
+        covering = asyncio.create_task(turn.cover(MOST))
         for _ in range(self.rng.randrange(MAX_ANSWER_ROUNDS)):
             await asyncio.sleep(0)
         await self.program.end(turn)
-        asking.cancel()
-        await asyncio.wait([asking])
+        covering.cancel()
+        await asyncio.wait([covering])
 
     async def _close(self) -> None:
         """End a turn that is not kept; its process writes the released grant."""
--- a/sequoiaarch/tests/ledger/crash_tests.py
+++ b/sequoiaarch/tests/ledger/crash_tests.py
@@ -45,7 +45,7 @@
     """Run turns of one program on processes that crash.
 
     `max_used` is the upper bound of what its turns used: the tokens used by ended
-    turns, and the maximum of those that were open at a crash.
+    turns, and the maximum of all others.
     """
 
     def __init__(self, *, budget: int, split: BudgetSplit | None = None) -> None:
@@ -326,11 +326,11 @@
             self.assertIs(await opened.verdict(), BudgetVerdict.UNCERTAIN)
         opened.close()
         self.assertGreater(await self.granted(program, first), 0)
-        returning = (
+        patches = (
             mock.patch.object(budgets_module, "RELEASE_AFTER", 0.0),
             mock.patch.object(ledger_module, "RELEASE_INTERVAL", 0.01),
         )
-        with returning[0], returning[1]:
+        with patches[0], patches[1]:
             task = asyncio.create_task(first.ledger.run_release())
             await asyncio.sleep(1.0)
             task.cancel()
--- a/sequoiaarch/tests/ledger/grant_interleaving_tests.py
+++ b/sequoiaarch/tests/ledger/grant_interleaving_tests.py
@@ -19,7 +19,7 @@
 INCREMENT = 1
 STEPS = 7
 NAMES = "ab"
-ACTIONS = ("open", "raise", "read", "hand", "close", "lose")
+ACTIONS = ("open", "raise", "read", "use", "close", "crash")
 
 
 @dataclass(kw_only=True)
@@ -100,10 +100,10 @@
             "open": self._open,
             "raise": self._raise,
             "read": self._read,
-            "hand": self._use,
+            "use": self._use,
             "close": self._close,
         }
-        if action == "lose":
+        if action == "crash":
             del self.processes[name]
             self.process(name)
             return process.turn is not None or process.used > 0
--- a/sequoiaarch/tests/ledger/state_tests.py
+++ b/sequoiaarch/tests/ledger/state_tests.py
@@ -69,5 +69,5 @@
                 from_snapshot.apply(key, value)
                 for writer in WRITERS:
                     counted = from_snapshot.granted(PROGRAM, writer)
-                    held = complete.granted(PROGRAM, writer)
-                    self.assertGreaterEqual(counted, held, (seed, writer))
+                    granted = complete.granted(PROGRAM, writer)
+                    self.assertGreaterEqual(counted, granted, (seed, writer))
