--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -11,10 +11,10 @@
 from ..ledger.ledger import Ledger
 from ..ledger.terms import BudgetVerdict, History, TurnContent, TurnStart
 from ..ledger.turns import (
-    CALLER_PATIENCE,
-    COVER_RETRY,
+    COVER_RETRY_INTERVAL,
+    COVER_TIMEOUT,
     LocalTurn,
-    content_of,
+    turn_content,
 )
 from ..wire.links import Link
 from ..wire.messages import (
@@ -129,9 +129,9 @@
         self._own = taken
         return await taken.verdict()
 
-    def announce(self) -> None:
+    def write_index(self) -> None:
         """Write the program of the turn beside its run."""
-        self._announced = self._turns.ledger.announce(self._start.terms)
+        self._announced = self._turns.ledger.write_index(self._start.terms)
 
     def covers(self, tokens: int) -> bool:
         """Return whether so many more tokens may go to the caller unasked."""
@@ -179,15 +179,15 @@
         """
         self._tell_end()
         terms = self._start.terms
-        rest = terms.rest(max(1, terms.most - self._handed))
+        rest = terms.remainder(max(1, terms.most - self._handed))
         start = msgspec.structs.replace(self._start, terms=rest)
-        deadline = asyncio.get_running_loop().time() + CALLER_PATIENCE
+        deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
             taken = await self._turns.take_over(start)
             if isinstance(taken, LocalTurn) and await self._accept(taken):
                 self._own = taken
                 return taken
-            await asyncio.sleep(COVER_RETRY)
+            await asyncio.sleep(COVER_RETRY_INTERVAL)
         return None
 
     async def _accept(self, taken: LocalTurn) -> bool:
@@ -203,19 +203,19 @@
                 taken.close()
         return accepted
 
-    def hand_out(self, tokens: int) -> None:
+    def record_usage(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
         if self._own is not None:
-            self._own.hand_out(tokens)
+            self._own.record_usage(tokens)
         else:
             self._handed += tokens
 
     async def commit(self, given: bytes, produced: bytes) -> None:
         """Make the turn part of the history; return once that is durable."""
         self._ended = True
-        content = content_of(self._start, self.history, given, produced)
+        content = turn_content(self._start, self.history, given, produced)
         if self._own is not None:
-            await self._own.commit_for(content)
+            await self._own.commit_content(content)
         else:
             await self._commit_there(content)
         if self._announced is not None:
--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -9,7 +9,7 @@
 
 from ..ids import HostName, OpeningId, ProgramId, TurnId
 from ..ledger.ledger import Ledger
-from ..ledger.terms import BudgetVerdict, Lookup, TurnStart
+from ..ledger.terms import BudgetVerdict, LookupFailure, TurnStart
 from ..ledger.turns import (
     LocalTurn,
     LocalTurns,
@@ -180,7 +180,7 @@
 
     async def take_over(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
         """Reserve a turn here whose delegate was lost; its history is known."""
-        return await self._local.take(start, None)
+        return await self._local.reserve(start, None)
 
     def lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
         """Note that a delegate was lost with a turn open."""
@@ -196,7 +196,7 @@
 def _sure_refusal(reply: TurnRefused) -> TurnRefusal | None:
     """Return why a delegate refused a turn; None where it can't tell."""
     # What it can't tell, this process may reach the store for.
-    if reply.lookup is Lookup.ABSENT:
+    if reply.lookup is LookupFailure.ABSENT:
         return reply.lookup
     unsure = reply.verdict in (None, BudgetVerdict.UNCERTAIN)
     return None if unsure else reply.verdict
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -10,7 +10,7 @@
 from ..errors import ErrorKind, Failure
 from ..ids import OpeningId
 from ..ledger.ledger import Ledger
-from ..ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
+from ..ledger.terms import BudgetVerdict, LookupFailure, TurnStart, TurnTerms
 from ..ledger.turns import LocalTurn, LocalTurns
 from ..wire.links import Send
 from ..wire.messages import (
@@ -91,7 +91,7 @@
         if opening in self._ended_unopened:
             return failed(CALLER_LEFT)
         opened = await self._local.open(start)
-        if isinstance(opened, Lookup):
+        if isinstance(opened, LookupFailure):
             return TurnRefused(lookup=opened)
         if isinstance(opened, BudgetVerdict):
             return TurnRefused(verdict=opened)
@@ -119,7 +119,7 @@
         opened = self._open.get(request.opening)
         if opened is None:
             return failed(NOT_OPEN)
-        opened.hand_out_total(request.handed)
+        opened.record_total_usage(request.handed)
         if not await opened.cover_total(request.total):
             return TurnRefused(verdict=BudgetVerdict.EXCEEDED)
         if request.opening not in self._open:
@@ -133,15 +133,15 @@
             # This process took the place of the one that opened it.
             await self._ledger.write(request.terms, request.content)
             return
-        opened.hand_out_total(request.handed)
-        await opened.commit_for(request.content)
+        opened.record_total_usage(request.handed)
+        await opened.commit_content(request.content)
 
     def _close(self, opening: OpeningId, handed: int) -> None:
         opened = self._open.pop(opening, None)
         if opened is None:
             self._remember_end(opening)
             return
-        opened.hand_out_total(handed)
+        opened.record_total_usage(handed)
         opened.close()
 
     def _remember_end(self, opening: OpeningId) -> None:
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -20,8 +20,8 @@
 from ..http1.server_connection import ResponseWriter, ServerLimits
 from ..ids import InstanceId, WriterId
 from ..ledger.ledger import Ledger
-from ..ledger.places import Places
-from ..ledger.split import BudgetSplit, PartLent, WholeInLog
+from ..ledger.partition_map import PartitionMap
+from ..ledger.split import BudgetSplit, LendingSplit, LogOnlySplit
 from ..ledger.sweeper import Sweeper
 from ..ledger.turns import LocalTurns, Turns
 from ..observe.events import EventLog
@@ -92,18 +92,18 @@
         self.targets = Targets(dropped=self._forget_target)
         writer = WriterId(secrets.token_hex(WRITER_BYTES))
         # Without peers nobody could borrow the part of budgets that is lent.
-        split: BudgetSplit = WholeInLog() if peers is None else PartLent()
-        places = Places(per_topic=options.store.partitions)
+        split: BudgetSplit = LogOnlySplit() if peers is None else LendingSplit()
+        partition_map = PartitionMap(per_topic=options.store.partitions)
         self.ledger = Ledger(
             log=keyed_log,
             writer=writer,
-            places=places,
+            partition_map=partition_map,
             turn_bytes=int(options.memory_bytes * TURN_MEMORY_SHARE),
             split=split,
         )
         sweeper = Sweeper(
             log=keyed_log,
-            places=places,
+            partition_map=partition_map,
             processes=lambda: 1 + (len(peers) if peers is not None else 0),
             rng=rng,
         )
@@ -181,8 +181,8 @@
         self._background: list[Coroutine[Any, Any, None]] = [
             configuration.follow(),
             self._targets_follower.follow(),
-            self.ledger.trim(),
-            self.ledger.give_back(),
+            self.ledger.run_trim(),
+            self.ledger.run_release(),
             sweeper.run(),
             self.dispatcher.pool.sweep(),
             self.dispatcher.load.watch(),
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -10,7 +10,7 @@
 from ..http1.server_connection import ResponseWriter
 from ..ids import TurnId
 from ..ledger.ledger import Ledger
-from ..ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
+from ..ledger.terms import BudgetVerdict, LookupFailure, TurnStart, TurnTerms
 from ..ledger.turns import OpenTurn, TurnRefusal, Turns
 from ..observe.request_metrics import RequestMetrics
 from ..policies.retries import patience
@@ -135,7 +135,7 @@
             lifetime=remaining + TURN_LIFETIME_MARGIN,
         )
         opened = await self._turns.open(start)
-        if isinstance(opened, Lookup | BudgetVerdict):
+        if isinstance(opened, LookupFailure | BudgetVerdict):
             raise _turn_failure(opened, info.previous)
         return opened
 
@@ -145,7 +145,7 @@
         if info.previous is not None:
             return
         retry_after = self._dispatcher.start_retry_after(self._route, info)
-        if retry_after is None or await self._ledger.knows_program(self._program):
+        if retry_after is None or await self._ledger.may_know_program(self._program):
             return
         raise fail(
             ErrorKind.OVERLOADED, "all engines are full", retry_after=retry_after
@@ -233,7 +233,7 @@
     ) -> bool:
         """Relay a stream and return True; raises LinkError or FailureError."""
         if output is not None and self._route.retained:
-            output.turn.announce()
+            output.turn.write_index()
         splitter = EventSplitter()
         while (part := await self._attempts.next_part(response)) is not None:
             for event in splitter.feed(part):
@@ -312,7 +312,7 @@
         )
         if not covered:
             return False
-        self.turn.hand_out(tokens)
+        self.turn.record_usage(tokens)
         if not self.turn.covers(tokens):
             self._pending_cover = asyncio.create_task(self.turn.cover(tokens))
         return True
@@ -337,9 +337,9 @@
 def _turn_failure(refusal: TurnRefusal, previous: TurnId | None) -> FailureError:
     if refusal is BudgetVerdict.EXCEEDED:
         return fail(ErrorKind.BUDGET_EXHAUSTED, "the budget of the program is used up")
-    if refusal is Lookup.ABSENT:
+    if refusal is LookupFailure.ABSENT:
         return fail(ErrorKind.NOT_FOUND, f"no turn {previous}")
-    if isinstance(refusal, Lookup):
+    if isinstance(refusal, LookupFailure):
         return fail(
             ErrorKind.LOG_UNAVAILABLE, refusal.value, retry_after=STORE_RETRY_AFTER
         )
--- a/sequoiaarch/ledger/index.py
+++ b/sequoiaarch/ledger/index.py
@@ -1,4 +1,4 @@
-"""Tell the program of a turn that another program continues."""
+"""Index turns by the program that they belong to."""
 
 from __future__ import annotations
 
@@ -8,40 +8,43 @@
 from ..ids import Offset, ProgramId, TurnId
 from ..storage.keyed import KeyedLog, KeyedRecord, Partition
 from .appender import Appender
-from .places import Places
+from .partition_map import PartitionMap
 from .records import IndexRecord, decode_record, encode_record
 
 
 class TurnIndex:
-    """Keep the program of each turn; turns stand with their programs.
+    """Store the program of each turn.
 
-    Without it a turn of an unknown program could only be found, or shown not
-    to exist, by reading the whole store.
+    Turns are stored with their program. If a program continues a turn of another one,
+    the index tells which partition to read; without it the whole store would have to be
+    searched.
     """
 
-    def __init__(self, *, log: KeyedLog, places: Places, writer: str) -> None:
+    def __init__(
+        self, *, log: KeyedLog, partition_map: PartitionMap, writer: str
+    ) -> None:
         self._log = log
-        self._places = places
+        self._partition_map = partition_map
         self._writer = writer
         self._appenders: dict[Partition, Appender] = {}
 
     def put(
         self, turn: TurnId, program: ProgramId, retention: float
     ) -> asyncio.Future[Offset]:
-        """Write the program of a turn; the future is done once it is durable."""
-        place = self._places.of_turn(turn)
-        appender = self._appenders.get(place)
+        """Write the program of a turn; the future resolves once it is durable."""
+        partition = self._partition_map.of_turn(turn)
+        appender = self._appenders.get(partition)
         if appender is None:
-            appender = self._appenders[place] = Appender(
-                log=self._log, partition=place, writer=self._writer
+            appender = self._appenders[partition] = Appender(
+                log=self._log, partition=partition, writer=self._writer
             )
         record = IndexRecord(program=program, retention=retention)
         keyed = KeyedRecord(key=turn, value=encode_record(record))
         return appender.append(keyed, urgent=True)
 
     async def find(self, turn: TurnId) -> ProgramId | None | Failure:
-        """Return the program of a turn, None if there is no such turn."""
-        newest = await self._log.newest(self._places.of_turn(turn))
+        """Return the program of a turn; None if there is no such turn."""
+        newest = await self._log.newest(self._partition_map.of_turn(turn))
         if isinstance(newest, Failure):
             return newest
         for listed in newest.records:
@@ -51,9 +54,13 @@
         return None
 
     async def flush(self) -> None:
-        """Write all that is queued."""
-        await asyncio.gather(*(one.flush() for one in self._appenders.values()))
+        """Wait until all queued records are written."""
+        await asyncio.gather(
+            *(appender.flush() for appender in self._appenders.values())
+        )
 
     async def close(self) -> None:
-        """Stop to write."""
-        await asyncio.gather(*(one.close() for one in self._appenders.values()))
+        """Stop writing; queued records are discarded."""
+        await asyncio.gather(
+            *(appender.close() for appender in self._appenders.values())
+        )
--- a/sequoiaarch/ledger/split.py
+++ b/sequoiaarch/ledger/split.py
@@ -6,57 +6,55 @@
 
 from .terms import TurnTerms
 
-# This part of a budget is never granted in the log, so that it can be lent while
-# the log can't be reached. Programs use 13 % of their budget in the median and
-# 36 % at most (99 in 100 of 919 programs of a simulated half minute). What lost
-# lenders had counts as spent for minutes: with a half, a program of eight turns
-# that had used an eighth was refused after a crash of all processes.
-LENT_PART = 0.25
-# Lenders of one program that follow each other get this share of what the one
-# before had: three quarters of the lent part go to the first, and whoever comes
-# later takes nothing from those before, dead or alive.
-NEXT_SHARE = 0.25
+# Share of a budget that is kept for lenders, so that turns can go on while the log is
+# unavailable. The part of a lost lender counts as spent for minutes, so a larger share
+# would refuse programs after a crash.
+LENT_SHARE = 0.25
+# Each further lender of a program gets this share of the part of the one before. The
+# parts are disjoint, so a new lender needs nothing from earlier ones.
+NEXT_LENDER_SHARE = 0.25
 
 
 class BudgetSplit(Protocol):
-    """Say how much of a budget may be had where."""
+    """Define how much of a budget the log and each lender may grant."""
 
-    def in_log(self, terms: TurnTerms) -> int:
-        """Return the tokens that all grants in the log may add up to."""
+    def log_limit(self, terms: TurnTerms) -> int:
+        """Return the bound on the sum of all grants in the log, in tokens."""
 
-    def lent(self, budget: int, place: int) -> int:
-        """Return the tokens that the lender at a place may lend in all."""
+    def lender_limit(self, budget: int, rank: int) -> int:
+        """Return the tokens that the lender of a rank, counted from 0, may lend."""
 
 
-class WholeInLog:
-    """Grant everything in the log; nothing is lent."""
+class LogOnlySplit:
+    """Grant the whole budget through the log; nothing is lent."""
 
-    def in_log(self, terms: TurnTerms) -> int:
+    def log_limit(self, terms: TurnTerms) -> int:
         """Return the whole budget."""
         return terms.budget
 
-    def lent(self, budget: int, place: int) -> int:
+    def lender_limit(self, budget: int, rank: int) -> int:
         """Return 0."""
         return 0
 
 
-class PartLent:
-    """Lend a quarter of each budget, in disjoint parts for lenders by their place.
+class LendingSplit:
+    """Reserve a quarter of each budget for lenders, in disjoint parts by rank.
 
-    What may be handed out in all stays below the budget and one turn more,
-    which is the bound that callers are promised: the log may go one turn past
-    its part, so that a budget of up to four turns at their most is granted there
-    in full.
+    The log may exceed its part by one turn, so that small budgets are granted there in
+    full. In total at most the budget and one further turn can be used, which is the
+    bound that callers are promised.
     """
 
-    def in_log(self, terms: TurnTerms) -> int:
-        """Return the part that is not lent, and one turn."""
-        return min(terms.budget, terms.budget - _lent(terms.budget) + terms.most)
+    def log_limit(self, terms: TurnTerms) -> int:
+        """Return the part that is not reserved for lenders, plus one turn."""
+        return min(terms.budget, terms.budget - _lendable(terms.budget) + terms.most)
 
-    def lent(self, budget: int, place: int) -> int:
-        """Return the part of a place; the parts of all places add up to a quarter."""
-        return int(_lent(budget) * (1 - NEXT_SHARE) * NEXT_SHARE**place)
+    def lender_limit(self, budget: int, rank: int) -> int:
+        """Return the part of a rank; the parts of all ranks add up to a quarter."""
+        return int(
+            _lendable(budget) * (1 - NEXT_LENDER_SHARE) * NEXT_LENDER_SHARE**rank
+        )
 
 
-def _lent(budget: int) -> int:
-    return int(budget * LENT_PART)
+def _lendable(budget: int) -> int:
+    return int(budget * LENT_SHARE)
--- a/sequoiaarch/ledger/state.py
+++ b/sequoiaarch/ledger/state.py
@@ -1,4 +1,4 @@
-"""Fold the records of one partition into histories and budgets."""
+"""Build histories and grants from the records of one partition."""
 
 from __future__ import annotations
 
@@ -13,52 +13,53 @@
 
 log = logbook.Logger("ledger")
 
-# A chain longer than this is a loop in the records.
-MAX_CHAIN = 10_000
+# A longer chain of parent turns is taken for a cycle.
+MAX_CHAIN_LENGTH = 10_000
 
 
 @dataclass(kw_only=True)
 class Grant:
-    """Hold the newest valid grant of a writer; `seen` is a time of the clock.
+    """Newest valid grant of a writer; `updated_at` is on the clock of the state.
 
-    `beside` are the grants of the others where it stands in the log, kept for
-    this process's own ones.
+    `others` are the grants of the other writers at its position in the log, known only
+    for grants of this process.
     """
 
     tokens: int
     used: int
-    seen: float
+    updated_at: float
     wanted: int = 0
-    beside: tuple[Grant, ...] | None = None
+    others: tuple[Grant, ...] | None = None
 
     def wanted_since(self, since: float) -> int:
-        """Return what the writer may come to, if it was heard of lately."""
-        return max(self.tokens, self.wanted) if self.seen >= since else self.tokens
+        """Return the demand, or only the grant if last updated before `since`."""
+        return (
+            max(self.tokens, self.wanted) if self.updated_at >= since else self.tokens
+        )
 
 
 @dataclass(kw_only=True)
 class ProgramRecords:
-    """Hold the turns and grants of one program.
+    """Turns and grants of one program.
 
-    `exact` says that all its records were applied in order since the first.
+    `in_order` is set if all its records were applied in order from the first.
     """
 
-    exact: bool
+    in_order: bool
     turns: set[TurnId] = field(default_factory=set)
     grants: dict[WriterId, Grant] = field(default_factory=dict)
 
 
 class LedgerState:
-    """Hold the turns and grants of the programs of a partition.
+    """State of all programs in one partition, derived from its records.
 
-    Every process folds the same records in the same order, so all of them
-    agree which grants fit the budget: one that doesn't fit at its place in the
-    log never counts, whoever wrote it and however late. `own_grant` tells what
-    this process knows to be granted to itself, which a list can't tell.
+    All processes apply the same records in the same order, so they agree on which
+    grants are valid: one that did not fit the budget at its position in the log never
+    counts. `own_grant` returns what this process knows to be granted to itself.
 
-    A view that began with a list counts others at least as high as the log
-    does: it takes every record of theirs for valid. It may refuse what would
-    fit; it never has a process hand out what another one was granted.
+    A state that starts from a snapshot of the newest records can't check earlier grants
+    and takes those of other writers as valid. It may refuse a turn that would fit, but
+    never uses tokens granted to another process.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
 
     @property
     def turns(self) -> int:
-        """Return how many turns are known."""
+        """Return the number of turns in memory."""
         return len(self._turns)
 
     def now(self) -> float:
@@ -86,23 +87,23 @@
         return self._clock()
 
     def apply(self, key: str, value: bytes, *, ordered: bool = True) -> None:
-        """Take over one record.
+        """Apply one record.
 
-        `ordered` says that all records before it in the log were applied; a
-        list of the newest records has lost that order.
+        `ordered` says that all records before it in the log were applied; it is False
+        for a snapshot of the newest records.
         """
         if not value:
             self.remove(key)
             return
         record = decode_record(value)
         if record is None or isinstance(record, IndexRecord):
-            log.warning("record {} can't be read and is passed over", key)
+            log.warning("record {} can't be decoded and is skipped", key)
             return
         program = self._programs.get(record.program)
         if program is None:
-            program = ProgramRecords(exact=ordered)
+            program = ProgramRecords(in_order=ordered)
             self._programs[record.program] = program
-        program.exact = program.exact and ordered
+        program.in_order = program.in_order and ordered
         self._program_of[key] = record.program
         if isinstance(record, TurnRecord):
             self._put_turn(program, TurnId(key), record)
@@ -110,7 +111,7 @@
             self._put_grant(program, record, ordered)
 
     def remove(self, key: str) -> None:
-        """Forget what stands under a key."""
+        """Remove the record of a key."""
         name = self._program_of.pop(key, None)
         if name is None:
             return
@@ -122,7 +123,7 @@
             del self._programs[name]
 
     def drop_turns(self) -> None:
-        """Free the memory of all turns; grants stay."""
+        """Free the memory of all turns; grants are kept."""
         for turn in list(self._turns):
             self.remove(turn)
 
@@ -131,65 +132,65 @@
         grant = self._grants(program).get(writer)
         return grant.tokens if grant is not None else 0
 
-    def wanted_others(self, program: ProgramId, since: float) -> int:
-        """Return the tokens that all other writers were granted or may want.
+    def wanted_by_others(self, program: ProgramId, since: float) -> int:
+        """Return the tokens that all other writers were granted or may need.
 
-        What their open turns want beyond their grant counts for those that
-        wrote it `since` or later on this process's clock.
+        Demand beyond a grant counts only for records applied at `since` or later on
+        this state's clock.
         """
         grants = self._grants(program).items()
         others = (grant for name, grant in grants if name != self._writer)
         return sum(grant.wanted_since(since) for grant in others)
 
-    def wanted_beside(
+    def wanted_by_others_at_grant(
         self, program: ProgramId, writer: WriterId, since: float
     ) -> int | None:
-        """Return what others wanted where a writer's newest grant stands.
+        """Return the demand of the others at the position of a writer's newest grant.
 
-        None where the records before it are not known.
+        None if the records before it are not known.
         """
         grant = self._grants(program).get(writer)
-        if grant is None or grant.beside is None:
+        if grant is None or grant.others is None:
             return None
-        return sum(one.wanted_since(since) for one in grant.beside)
+        return sum(other.wanted_since(since) for other in grant.others)
 
-    def used_others(self, program: ProgramId) -> int:
+    def used_by_others(self, program: ProgramId) -> int:
         """Return the tokens that all other writers have used."""
         grants = self._grants(program).items()
         return sum(grant.used for name, grant in grants if name != self._writer)
 
-    def returning(self, program: ProgramId, since: float) -> bool:
-        """Return whether another writer may soon return a part of its grant.
+    def may_release(self, program: ProgramId, since: float) -> bool:
+        """Return whether another writer may soon release a part of its grant.
 
-        That is one that was granted more than it used, `since` or later on
-        this process's clock.
+        That is one whose demand exceeds what it used, in a record applied at `since` or
+        later.
         """
         return any(
-            grant.wanted_since(since) > grant.used and grant.seen >= since
+            grant.wanted_since(since) > grant.used and grant.updated_at >= since
             for name, grant in self._grants(program).items()
             if name != self._writer
         )
 
     def describe_others(self, program: ProgramId) -> str:
-        """Return what each other writer was granted, as text for the log."""
+        """Describe the grants of all other writers, for a log line."""
         now = self._clock()
         return ", ".join(
             f"{name} {grant.tokens} of which {grant.used} used, {grant.wanted} wanted "
-            f"{now - grant.seen:.1f} s ago"
+            f"{now - grant.updated_at:.1f} s ago"
             for name, grant in self._grants(program).items()
             if name != self._writer
         )
 
-    def knows_program(self, program: ProgramId) -> bool:
+    def has_program(self, program: ProgramId) -> bool:
         """Return whether a program has any record."""
         return program in self._programs
 
-    def knows(self, turn: TurnId) -> bool:
+    def has_turn(self, turn: TurnId) -> bool:
         """Return whether a turn is known."""
         return turn in self._turns
 
     def history(self, turn: TurnId) -> bytes | None:
-        """Return the prompt so far, oldest turn first; None if a part lacks."""
+        """Return the prompt up to a turn; None if a part of it is missing."""
         parts: list[bytes] = []
         current: TurnId | None = turn
         while current is not None:
@@ -198,15 +199,15 @@
                 return None
             parts += (record.produced, record.given, record.base)
             current = record.parent
-            if len(parts) > 3 * MAX_CHAIN:
-                log.error("turn {} has an endless chain", turn)
+            if len(parts) > 3 * MAX_CHAIN_LENGTH:
+                log.error("turn {} has a cycle in its chain of parent turns", turn)
                 return None
         parts.reverse()
         return b"".join(parts)
 
     def _grants(self, program: ProgramId) -> dict[WriterId, Grant]:
-        found = self._programs.get(program)
-        return found.grants if found is not None else {}
+        records = self._programs.get(program)
+        return records.grants if records is not None else {}
 
     def _put_turn(
         self, program: ProgramRecords, turn: TurnId, record: TurnRecord
@@ -226,27 +227,27 @@
     ) -> None:
         tokens = record.tokens
         known = program.grants.get(record.writer)
-        before = known.tokens if known is not None else 0
+        previous = known.tokens if known is not None else 0
         own = record.writer == self._writer
         if own and not ordered:
-            # Whether it fitted at its place can't be told from a list; this
-            # process remembers what it was granted.
+            # A snapshot does not show whether the grant fitted the budget at its
+            # position; this process remembers what it was granted.
             remembered = self._own_grant(record.program)
             tokens = record.tokens if remembered is None else remembered
-        elif ordered and record.tokens > before and (own or program.exact):
-            others = sum(one.tokens for one in program.grants.values()) - before
+        elif ordered and record.tokens > previous and (own or program.in_order):
+            others = sum(grant.tokens for grant in program.grants.values()) - previous
             limit = record.budget if record.limit is None else record.limit
             if others + record.tokens > limit:
                 return
         others_now = (
-            one for name, one in program.grants.items() if name != record.writer
+            grant for name, grant in program.grants.items() if name != record.writer
         )
         program.grants[record.writer] = Grant(
             tokens=tokens,
             used=record.used,
-            seen=self._clock(),
+            updated_at=self._clock(),
             wanted=record.wanted,
-            beside=tuple(others_now) if own and ordered else None,
+            others=tuple(others_now) if own and ordered else None,
         )
 
 
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -1,4 +1,4 @@
-"""Remove the records of programs that can no longer come back."""
+"""Remove the records of programs that can no longer resume."""
 
 from __future__ import annotations
 
@@ -20,83 +20,79 @@
     NewestRecords,
     Partition,
 )
-from .places import Places
+from .partition_map import PartitionMap
 from .records import IndexRecord, decode_record
 
 log = logbook.Logger("sweeper")
 
-# Every partition is seen by some process about once in this time. Records stay
-# for up to three times as long, 450 s: at 1 MB a second of new turns that is
-# what the store may hold. Seconds.
+# Interval in which each partition is visited about once by some process; ended records
+# stay for up to three intervals. Seconds.
 ROUND_SECONDS = 150.0
-# A program may come back at the end of its retention, and takes a moment to
-# write its next record. Seconds.
-MARGIN = 30.0
-# The other processes must be known before the part of this one can be drawn: a
-# process that took itself for the only one visited everything, 19 calls a
-# second in place of one. Nothing can be due that early. Seconds.
-FIRST_DRAW = 30.0
-DROPPED_AT_ONCE = 500
+# Time beyond the retention in which a resumed program writes its next record. Seconds.
+GRACE_PERIOD = 30.0
+# Delay of the first round, until the other processes are known: the share of this
+# process depends on their number. Seconds.
+START_DELAY = 30.0
+MAX_DELETES = 500
 
 
 @dataclass(kw_only=True)
-class _Seen:
-    """Hold the newest place of a group of records, and when it was first seen."""
+class _GroupState:
+    """Newest offset of a group of records, and the time at which it was first seen."""
 
-    place: Offset
-    at: float
+    offset: Offset
+    first_seen: float
 
 
 class Sweeper:
-    """Look through a part of the partitions in turn.
-
-    Each process looks through a part that it draws by lot, about as much as
-    makes the whole together with the others. So nobody has to agree on who
-    does what, and what a lost process wrote is removed like all else. Clocks
-    are never compared: a program is dropped when its newest place in the log
-    was the same at two visits that lie further apart than it may pause. The
-    store drops its records only if nothing was written since the second.
+    """Remove ended programs from a random sample of the partitions.
+
+    Each process draws a sample of such a size that all processes together cover every
+    partition about once, without coordination. Clocks of different processes are never
+    compared: a program has ended if its newest offset was the same at two visits
+    further apart than its retention. The store removes the records only if nothing was
+    written after the second visit.
     """
 
     def __init__(
         self,
         *,
         log: KeyedLog,
-        places: Places,
+        partition_map: PartitionMap,
         processes: Callable[[], int],
         rng: random.Random,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._log = log
-        self._places = places
+        self._partition_map = partition_map
         self._processes = processes
         self._rng = rng
         self._clock = clock
-        self._seen: dict[Partition, dict[str, _Seen]] = {}
+        self._states: dict[Partition, dict[str, _GroupState]] = {}
 
     async def run(self) -> None:
-        """Visit partitions for ever."""
-        await asyncio.sleep(FIRST_DRAW)
+        """Visit partitions until cancelled."""
+        await asyncio.sleep(START_DELAY)
         while True:
-            part = self.draw()
+            sample = self.sample_partitions()
             for _ in range(2):
-                for partition in part:
-                    await asyncio.sleep(ROUND_SECONDS / len(part))
+                for partition in sample:
+                    await asyncio.sleep(ROUND_SECONDS / len(sample))
                     await self.visit(partition)
 
-    def draw(self) -> list[Partition]:
+    def sample_partitions(self) -> list[Partition]:
         """Return the partitions to visit in the next two rounds."""
-        everything = self._places.all
-        count = max(1, len(everything) // max(1, self._processes()))
-        self._seen.clear()
-        return self._rng.sample(everything, count)
+        partitions = self._partition_map.all_partitions
+        count = max(1, len(partitions) // max(1, self._processes()))
+        self._states.clear()
+        return self._rng.sample(partitions, count)
 
     async def visit(self, partition: Partition) -> int:
-        """Drop what has ended in a partition; return how many records."""
+        """Remove ended programs from a partition; return the number of records."""
         newest = await self._log.newest(partition)
         if isinstance(newest, Failure):
             return 0
-        keys = self._ended(partition, newest)[:DROPPED_AT_ONCE]
+        keys = self._ended(partition, newest)[:MAX_DELETES]
         if not keys:
             return 0
         records = [KeyedRecord(key=key, value=b"") for key in keys]
@@ -109,32 +105,32 @@
     def _ended(self, partition: Partition, newest: NewestRecords) -> list[str]:
         """Return the keys of programs that have written nothing for long enough."""
         now = self._clock()
-        before = self._seen.get(partition, {})
-        seen = self._seen[partition] = {}
+        previous = self._states.get(partition, {})
+        states = self._states[partition] = {}
         ended: list[str] = []
         for group, records in _groups(newest.records).items():
-            place = max(record.offset for record in records)
-            known = before.get(group)
-            if known is None or known.place != place:
-                known = _Seen(place=place, at=now)
-            seen[group] = known
-            if known.at + _retention(records) + MARGIN < now:
+            offset = max(record.offset for record in records)
+            state = previous.get(group)
+            if state is None or state.offset != offset:
+                state = _GroupState(offset=offset, first_seen=now)
+            states[group] = state
+            if state.first_seen + _retention(records) + GRACE_PERIOD < now:
                 ended.extend(record.key for record in records)
         return ended
 
 
 def _groups(records: list[ListedRecord]) -> dict[str, list[ListedRecord]]:
-    """Return records that go together: those of a program, or one of the index."""
+    """Group records that expire together: those of a program, or one index record."""
     groups: dict[str, list[ListedRecord]] = defaultdict(list)
     for record in records:
         decoded = decode_record(record.value)
         if decoded is None:
             continue
-        alone = isinstance(decoded, IndexRecord)
-        groups[record.key if alone else decoded.program].append(record)
+        is_index = isinstance(decoded, IndexRecord)
+        groups[record.key if is_index else decoded.program].append(record)
     return groups
 
 
 def _retention(records: list[ListedRecord]) -> float:
     decoded = [decode_record(record.value) for record in records]
-    return max(one.retention for one in decoded if one is not None)
+    return max(record.retention for record in decoded if record is not None)
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -1,4 +1,4 @@
-"""Open turns: find their history, reserve their tokens, commit their end."""
+"""Open turns: look up their history, reserve their tokens and commit them."""
 
 from __future__ import annotations
 
@@ -9,34 +9,39 @@
 from .holds import Hold, Lender, NoLender
 from .ledger import Ledger
 from .reservation import Reservation
-from .terms import BudgetVerdict, History, Lookup, TurnContent, TurnStart, TurnTerms
-
-TurnRefusal = Lookup | BudgetVerdict
-
-# A grant that takes longer than this is not waited for where a lender can cover
-# the turn: callers leave after two seconds without an event, and a store that
-# has gone silent is known to be away only after one. Seconds.
-LOG_PATIENCE = 0.3
-# A loan of less than this part of a turn's most would likely be used up before
-# the turn ends: turns generate a quarter of their most on average, and 44 % at
-# the mean of their length.
-LEAST_PART = 0.4
-# A stream that has to wait for its budget in the middle does so for as long as
-# callers bear without an event, asking again meanwhile. Seconds.
-CALLER_PATIENCE = 2.0
-COVER_RETRY = 0.25
+from .terms import (
+    BudgetVerdict,
+    History,
+    LookupFailure,
+    TurnContent,
+    TurnStart,
+    TurnTerms,
+)
+
+TurnRefusal = LookupFailure | BudgetVerdict
+
+# How long to wait for the log before asking a lender. Callers give up after two seconds
+# without an event. Seconds.
+LOG_TIMEOUT = 0.3
+# Smallest useful loan, as a share of the turn's maximum; most turns would use up a
+# smaller one before they end.
+MIN_LOAN_SHARE = 0.4
+# How long a stream waits for more budget, about as long as callers wait for an event,
+# and the interval of its retries. Seconds.
+COVER_TIMEOUT = 2.0
+COVER_RETRY_INTERVAL = 0.25
 
 
 class OpenTurn(Protocol):
-    """Hold a turn from its reservation to its end."""
+    """A turn from its reservation to its end."""
 
     @property
     def history(self) -> History | None:
-        """Return what the turn continues; None at the start of a chain."""
+        """Return the history that the turn continues; None if it starts a new one."""
 
     @property
     def spent(self) -> int:
-        """Return the tokens that the program had used before."""
+        """Return the tokens that the program had used before the turn."""
 
     @property
     def where(self) -> str:
@@ -45,34 +50,34 @@
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn is granted."""
 
-    def announce(self) -> None:
-        """Write the program of the turn beside its run."""
+    def write_index(self) -> None:
+        """Start to write the index record of the turn."""
 
     def covers(self, tokens: int) -> bool:
-        """Return whether so many more tokens may go to the caller unasked."""
+        """Return whether `tokens` more may be sent to the caller without asking."""
 
     async def cover(self, tokens: int) -> bool:
-        """Ask for so many more tokens; return whether they may go to the caller."""
+        """Request `tokens` more; return whether they may be sent to the caller."""
 
-    def hand_out(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
+    def record_usage(self, tokens: int) -> None:
+        """Count tokens that were sent to the caller."""
 
     async def commit(self, given: bytes, produced: bytes) -> None:
-        """Make the turn part of the history; return once that is durable."""
+        """Append the turn to the history; return once it is durable."""
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Release what the turn did not use; further calls do nothing."""
 
 
 class Turns(Protocol):
-    """Open the turns of programs."""
+    """Open turns of programs, locally or through another process."""
 
     async def open(self, start: TurnStart) -> OpenTurn | TurnRefusal:
-        """Reserve a turn and find its history, or say why not."""
+        """Reserve a turn and look up its history, or return why that is refused."""
 
 
 class LocalTurn:
-    """Hold a turn whose account this process keeps."""
+    """A turn whose budget account is kept by this process."""
 
     def __init__(
         self,
@@ -88,139 +93,139 @@
         self._hold = hold
         self._ledger = ledger
         self._lender = lender
-        self._handed = 0
-        # What was handed out under earlier holds.
-        self._before = 0
+        self._used = 0
+        # Tokens used under earlier holds.
+        self._used_before = 0
         self._ended = False
         self._spent = ledger.spent(start.terms)
-        self._announced: asyncio.Future[Offset] | None = None
+        self._index_write: asyncio.Future[Offset] | None = None
 
     @property
     def history(self) -> History | None:
-        """Return what the turn continues; None at the start of a chain."""
+        """Return the history that the turn continues; None if it starts a new one."""
         return self._history
 
     @property
     def spent(self) -> int:
-        """Return the tokens that the program had used before."""
+        """Return the tokens that the program had used before the turn."""
         return self._spent
 
     @property
     def where(self) -> str:
         """Return which process keeps the account, for the log."""
-        return "here" if self._hold.by_log else f"here, {self.covered} lent"
+        return "here" if self._hold.from_log else f"here, {self.covered} lent"
 
     @property
     def granted(self) -> bool:
-        """Return whether the verdict is known to be good without waiting."""
+        """Return whether the turn is already known to fit."""
         return self._hold.granted
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be handed out unasked; None for all."""
+        """Return the tokens that may be used without asking; None for all."""
         covered = self._hold.covered
-        return None if covered is None else self._before + covered
+        return None if covered is None else self._used_before + covered
 
     async def verdict(self) -> BudgetVerdict:
-        """Wait until it is known whether the turn is granted, or borrow."""
+        """Wait until it is known whether the turn is granted; borrow if it is late."""
         try:
-            async with asyncio.timeout(LOG_PATIENCE):
+            async with asyncio.timeout(LOG_TIMEOUT):
                 verdict = await self._hold.verdict()
         except TimeoutError:
             verdict = BudgetVerdict.UNCERTAIN
-        if verdict not in LENDABLE:
+        if verdict not in LENDABLE_VERDICTS:
             return verdict
         loan = await _borrow(self._lender, self._start.terms, verdict)
         if loan is None:
-            # Nobody lends: only the log can tell, however long it takes.
+            # No lender can help, so wait for the log.
             return await self._hold.verdict()
-        return BudgetVerdict.FITS if self._go_on_with(loan) else verdict
+        return BudgetVerdict.FITS if self._replace_hold(loan) else verdict
 
     def covers(self, tokens: int) -> bool:
-        """Return whether so many more tokens may go to the caller unasked."""
-        return self.covered is None or self._handed + tokens <= self.covered
+        """Return whether `tokens` more may be sent to the caller without asking."""
+        return self.covered is None or self._used + tokens <= self.covered
 
     async def cover(self, tokens: int) -> bool:
-        """Ask for so many more tokens; return whether they may go to the caller."""
-        return await self.cover_total(self._handed + tokens)
+        """Request `tokens` more; return whether they may be sent to the caller."""
+        return await self.cover_total(self._used + tokens)
 
     async def cover_total(self, total: int) -> bool:
-        """Return whether the turn may hand out so many tokens in all.
+        """Return whether the turn may use `total` tokens.
 
-        Where the log doesn't say in time a lender covers the rest, and where a
-        loan is used up the log may be back. If neither helps, the stream waits
-        for as long as its caller does.
+        If the log does not answer in time, a lender covers the rest; if a loan is used
+        up, the log is asked again. If neither helps, the stream retries for up to
+        `COVER_TIMEOUT`.
         """
-        if await self._cover_soon(total) or await self._cover_elsewhere(total):
+        if await self._cover_in_time(total) or await self._switch_source(total):
             return True
-        deadline = asyncio.get_running_loop().time() + CALLER_PATIENCE
+        deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
-            await asyncio.sleep(COVER_RETRY)
-            if await self._cover_soon(total):
+            await asyncio.sleep(COVER_RETRY_INTERVAL)
+            if await self._cover_in_time(total):
                 return True
         return False
 
-    async def _cover_soon(self, total: int) -> bool:
+    async def _cover_in_time(self, total: int) -> bool:
         try:
-            async with asyncio.timeout(LOG_PATIENCE):
-                return await self._hold.cover(total - self._before)
+            async with asyncio.timeout(LOG_TIMEOUT):
+                return await self._hold.cover(total - self._used_before)
         except TimeoutError:
             return False
 
-    async def _cover_elsewhere(self, total: int) -> bool:
-        """Have a lender cover the rest of the turn in place of the log, or it again."""
+    async def _switch_source(self, total: int) -> bool:
+        """Cover the rest of the turn by a lender instead of the log, or the reverse."""
         most = max(total, self._start.terms.most)
-        terms = self._start.terms.rest(most - self._handed)
-        other: Hold | BudgetVerdict | None
-        if self._hold.by_log:
-            other = await self._lender.borrow(terms, least=total - self._handed)
+        terms = self._start.terms.remainder(most - self._used)
+        hold: Hold | BudgetVerdict | None
+        if self._hold.from_log:
+            hold = await self._lender.borrow(terms, least=total - self._used)
         else:
-            other = await self._ledger.reserve(terms)
-        if other is None or isinstance(other, BudgetVerdict):
+            hold = await self._ledger.reserve(terms)
+        if hold is None or isinstance(hold, BudgetVerdict):
             return False
-        if not self._go_on_with(other):
+        if not self._replace_hold(hold):
             return False
-        return await other.verdict() is BudgetVerdict.FITS
+        return await hold.verdict() is BudgetVerdict.FITS
 
-    def _go_on_with(self, hold: Hold) -> bool:
-        """Have another hold cover what is still to come; False if the turn ended."""
+    def _replace_hold(self, hold: Hold) -> bool:
+        """Continue the turn on another hold; return False if the turn has ended."""
         if self._ended:
-            # Nobody else would close it, and it would count as handed out; the
-            # turn may have ended during any wait for it.
+            # The turn ended while the hold was requested; an open hold would count as
+            # used.
             hold.close()
             return False
         self._hold.close()
         self._hold = hold
-        self._before = self._handed
+        self._used_before = self._used
         return True
 
-    def announce(self) -> None:
-        """Write the program of the turn beside its run."""
-        self._announced = self._ledger.announce(self._start.terms)
+    def write_index(self) -> None:
+        """Start to write the index record of the turn."""
+        self._index_write = self._ledger.write_index(self._start.terms)
 
-    def hand_out(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
-        self._handed += tokens
-        self._hold.hand_out(tokens)
+    def record_usage(self, tokens: int) -> None:
+        """Count tokens that were sent to the caller."""
+        self._used += tokens
+        self._hold.record_usage(tokens)
 
     async def commit(self, given: bytes, produced: bytes) -> None:
-        """Make the turn part of the history; return once that is durable."""
-        content = content_of(self._start, self._history, given, produced)
-        await self.commit_for(content)
-        if self._announced is not None:
-            await self._announced
-
-    def hand_out_total(self, total: int) -> None:
-        """Count what another process has handed out in all."""
-        self.hand_out(max(0, total - self._handed))
-
-    async def commit_for(self, content: TurnContent) -> None:
-        """Commit what another process relayed and announced."""
+        """Append the turn to the history; return once it is durable."""
+        content = turn_content(self._start, self._history, given, produced)
+        await self.commit_content(content)
+        if self._index_write is not None:
+            await self._index_write
+
+    def record_total_usage(self, total: int) -> None:
+        """Count what another process has sent to the caller in total."""
+        self.record_usage(max(0, total - self._used))
+
+    async def commit_content(self, content: TurnContent) -> None:
+        """Commit content relayed by another process, which writes the index record."""
         self._ended = True
         await self._ledger.commit(self._hold, content)
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Release what the turn did not use; further calls do nothing."""
         self._ended = True
         self._hold.close()
 
@@ -233,24 +238,24 @@
         self._lender = lender or NoLender()
 
     async def open(self, start: TurnStart) -> LocalTurn | TurnRefusal:
-        """Reserve a turn and find its history, or say why not.
+        """Reserve a turn and look up its history, or return why that is refused.
 
-        A turn that is kept begins also while the store is away: its events
-        reach the caller, and its end waits until the store keeps it.
+        A turn that is kept may begin while the store is unavailable. Its events reach
+        the caller, and its commit waits for the store.
         """
         history: History | None = None
         if start.kept and start.previous is not None:
             found = await self._ledger.history(start.terms.program, start.previous)
-            if isinstance(found, Lookup):
+            if isinstance(found, LookupFailure):
                 return found
             history = found
-        return await self.take(start, history)
+        return await self.reserve(start, history)
 
-    async def take(
+    async def reserve(
         self, start: TurnStart, history: History | None
     ) -> LocalTurn | BudgetVerdict:
-        """Reserve a turn whose history is known, or say why not."""
-        hold = await self._hold(start.terms)
+        """Reserve a turn whose history is known, or return why that is refused."""
+        hold = await self._obtain_hold(start.terms)
         if isinstance(hold, BudgetVerdict):
             return hold
         return LocalTurn(
@@ -261,56 +266,58 @@
             lender=self._lender,
         )
 
-    async def _hold(self, terms: TurnTerms) -> Hold | BudgetVerdict:
-        """Have the log grant a turn, or else a lender cover it."""
-        asking = asyncio.create_task(self._ledger.reserve(terms))
+    async def _obtain_hold(self, terms: TurnTerms) -> Hold | BudgetVerdict:
+        """Obtain a hold from the log, or else from a lender."""
+        reserving = asyncio.create_task(self._ledger.reserve(terms))
         try:
-            await asyncio.wait([asking], timeout=LOG_PATIENCE)
-            if asking.done() and asking.result() not in LENDABLE:
-                return asking.result()
-            verdict = asking.result() if asking.done() else BudgetVerdict.UNCERTAIN
+            await asyncio.wait([reserving], timeout=LOG_TIMEOUT)
+            if reserving.done() and reserving.result() not in LENDABLE_VERDICTS:
+                return reserving.result()
+            verdict = (
+                reserving.result() if reserving.done() else BudgetVerdict.UNCERTAIN
+            )
             loan = await _borrow(self._lender, terms, verdict)
             if loan is None:
-                return await asking
+                return await reserving
         except BaseException:
-            # Also a caller that leaves just as the grant arrives: the grant would
-            # stay held for nobody, and later turns be refused for it.
-            _abandon(asking)
+            # Also when the caller is cancelled just as the grant arrives: nobody would
+            # release it otherwise.
+            _cancel_reservation(reserving)
             raise
-        _abandon(asking)
+        _cancel_reservation(reserving)
         return loan
 
 
-# Verdicts of the log that don't hold for the part of a budget that is lent.
-LENDABLE = frozenset({BudgetVerdict.UNCERTAIN, BudgetVerdict.EXCEEDED})
+# Verdicts of the log after which a lender may still cover the turn.
+LENDABLE_VERDICTS = frozenset({BudgetVerdict.UNCERTAIN, BudgetVerdict.EXCEEDED})
 
 
 async def _borrow(
     lender: Lender, terms: TurnTerms, verdict: Reservation | BudgetVerdict
 ) -> Hold | None:
-    """Borrow where the log has no more, or can't say whether it has.
+    """Borrow if the log has no more tokens, or can't say whether it has.
 
-    A turn that gets less than its most is broken off where it needs more. In
-    an outage that is better than none; near the end of a budget it is not.
+    A turn with less than its maximum may be cut off. That is accepted while the log is
+    unavailable, but not near the end of a budget.
     """
     uncertain = verdict is BudgetVerdict.UNCERTAIN
-    least = int(terms.most * LEAST_PART) if uncertain else terms.most
+    least = int(terms.most * MIN_LOAN_SHARE) if uncertain else terms.most
     return await lender.borrow(terms, least=least)
 
 
-def _abandon(asking: asyncio.Task[Reservation | BudgetVerdict]) -> None:
-    """Give back what the log grants too late."""
-    asking.add_done_callback(_close_reserved)
-    asking.cancel()
+def _cancel_reservation(reserving: asyncio.Task[Reservation | BudgetVerdict]) -> None:
+    """Cancel a reservation, and release it if it is granted nevertheless."""
+    reserving.add_done_callback(_close_reserved)
+    reserving.cancel()
 
 
-def _close_reserved(asked: asyncio.Task[Reservation | BudgetVerdict]) -> None:
-    reserved = None if asked.cancelled() else asked.result()
+def _close_reserved(reserving: asyncio.Task[Reservation | BudgetVerdict]) -> None:
+    reserved = None if reserving.cancelled() else reserving.result()
     if isinstance(reserved, Reservation):
         reserved.close()
 
 
-def content_of(
+def turn_content(
     start: TurnStart, history: History | None, given: bytes, produced: bytes
 ) -> TurnContent:
     """Return what a turn adds to its program's history."""
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -29,8 +29,8 @@
 )
 from ...ledger import budgets as budgets_module
 from ...ledger.ledger import Ledger
-from ...ledger.places import Places
-from ...ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
+from ...ledger.partition_map import PartitionMap
+from ...ledger.terms import BudgetVerdict, LookupFailure, TurnStart, TurnTerms
 from ...ledger.turns import LocalTurn, LocalTurns, OpenTurn
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 from ...storage.calls import StoreCall, StoreReply
@@ -123,7 +123,9 @@
             seeds=[],
             rng=random.Random(1),
         )
-        self.ledger = Ledger(log=client, writer=name, places=Places(per_topic=2))
+        self.ledger = Ledger(
+            log=client, writer=name, partition_map=PartitionMap(per_topic=2)
+        )
         local = LocalTurns(ledger=self.ledger)
         self.turn_server = TurnServer(local=local, ledger=self.ledger)
         self.server.others = self.turn_server.answer
@@ -186,7 +188,9 @@
 
     async def granted(self, *processes: Process) -> int:
         """Return what the log grants processes, as one that starts now reads it."""
-        fresh = Ledger(log=self.store.client(), writer="x", places=Places(per_topic=2))
+        fresh = Ledger(
+            log=self.store.client(), writer="x", partition_map=PartitionMap(per_topic=2)
+        )
         partition = fresh.partition(PROGRAM)
         self.assertTrue(await partition.sync())
         return sum(
@@ -218,7 +222,7 @@
         """
         turn = await self.opened(self.other, start("t1", budget=4 * MOST - 10))
         self.assertFalse(turn.covers(40))
-        turn.hand_out(30)
+        turn.record_usage(30)
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
         self.answer_with(restarted.answer)
@@ -253,8 +257,8 @@
     ) -> OpenTurn:
         """Run and commit a turn that hands out ten tokens."""
         turn = await self.opened(process, begun)
-        turn.announce()
-        turn.hand_out(10)
+        turn.write_index()
+        turn.record_usage(10)
         await turn.commit(given, made)
         turn.close()
         return turn
@@ -285,7 +289,7 @@
     async def test_unknown_turn(self) -> None:
         """Pass on that there is no such turn."""
         found = await self.other.turns.open(start("t2", previous="nothing"))
-        self.assertIs(found, Lookup.ABSENT)
+        self.assertIs(found, LookupFailure.ABSENT)
 
     async def test_delegate_is_dead(self) -> None:
         """Serve a turn although the delegate of its account says nothing.
@@ -314,7 +318,7 @@
         written the turn; the same record under the same key does no harm.
         """
         turn = await self.opened(self.other, start("t1"))
-        turn.announce()
+        turn.write_index()
         before = self.delegate.turn_server.answer
 
         async def lost(request: Request, send: Send) -> Reply:
@@ -324,21 +328,23 @@
 
         self.answer_with(lost)
         await turn.commit(b"in", b"out")
-        fresh = Ledger(log=self.store.client(), writer="x", places=Places(per_topic=2))
+        fresh = Ledger(
+            log=self.store.client(), writer="x", partition_map=PartitionMap(per_topic=2)
+        )
         found = await fresh.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
+        assert not isinstance(found, LookupFailure)
         self.assertEqual(found.prompt, b"inout")
 
     async def test_delegate_restarts_within_a_turn(self) -> None:
         """Commit through a delegate that has forgotten the turn."""
         turn = await self.opened(self.other, start("t1"))
-        turn.announce()
+        turn.write_index()
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
         self.answer_with(restarted.answer)
         await turn.commit(b"in", b"out")
         found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
+        assert not isinstance(found, LookupFailure)
         self.assertEqual(found.prompt, b"inout")
 
     async def test_delegate_raises_what_a_turn_holds(self) -> None:
@@ -353,7 +359,7 @@
         self.assertFalse(turn.covers(40))
         for _ in range(10):
             self.assertTrue(await turn.cover(10))
-            turn.hand_out(10)
+            turn.record_usage(10)
         turn.close()
         async with asyncio.timeout(PATIENCE):
             while self.delegate.ledger.spent(start("t1").terms) < MOST:
@@ -367,17 +373,17 @@
         delegate had granted counts as spent, the stream does not break.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST))
-        turn.hand_out(30)
+        turn.record_usage(30)
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
         self.answer_with(restarted.answer)
         self.assertTrue(await turn.cover(30))
-        turn.hand_out(30)
+        turn.record_usage(30)
         self.assertIn("after all", turn.where)
-        turn.announce()
+        turn.write_index()
         await turn.commit(b"in", b"out")
         found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
+        assert not isinstance(found, LookupFailure)
         self.assertEqual(found.prompt, b"inout")
 
     async def test_turn_is_kept_while_more_is_asked_for(self) -> None:
@@ -389,8 +395,8 @@
         nothing may be granted here for a turn that has ended.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST))
-        turn.hand_out(30)
-        turn.announce()
+        turn.record_usage(30)
+        turn.write_index()
         ended = asyncio.Event()
         self.covers_arrive_after(ended)
         asking = asyncio.create_task(turn.cover(10))
@@ -409,7 +415,7 @@
         first. The delegate is well, and nothing is left to be granted here.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST, kept=False))
-        turn.hand_out(30)
+        turn.record_usage(30)
         ended = asyncio.Event()
         self.covers_arrive_after(ended)
         asking = asyncio.create_task(turn.cover(10))
@@ -453,7 +459,7 @@
         that is under way waits for it longer than one that begins.
         """
         turn = await self.opened(self.other, start("t1", budget=3 * MOST))
-        turn.hand_out(30)
+        turn.record_usage(30)
         before = self.delegate.turn_server.answer
 
         async def slow(request: Request, send: Send) -> Reply:
@@ -475,13 +481,13 @@
         not be cut for that.
         """
         turn = await self.opened(self.other, start("t1", budget=MOST + 40))
-        turn.hand_out(30)
+        turn.record_usage(30)
 
         async def forgotten(request: Request, send: Send) -> Reply:
             return failed("not open here")
 
         self.answer_with(forgotten)
-        with mock.patch.object(budgets_module, "RETURN_BOUND", 0.5):
+        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.5):
             self.assertTrue(await turn.cover(70))
         turn.close()
 
@@ -495,7 +501,7 @@
         handed = 0
         for number in range(4):
             turn = await self.opened(self.other, start(f"t{number}", kept=False))
-            turn.hand_out(MOST)
+            turn.record_usage(MOST)
             handed += MOST
             turn.close()
 
@@ -506,10 +512,10 @@
         self.answer_with(frozen)
         for number in range(20):
             found = await self.other.turns.open(start(f"u{number}", kept=False))
-            if isinstance(found, Lookup | BudgetVerdict):
+            if isinstance(found, LookupFailure | BudgetVerdict):
                 break
             if await found.verdict() is BudgetVerdict.FITS:
-                found.hand_out(MOST)
+                found.record_usage(MOST)
                 handed += MOST
             found.close()
         self.assertLessEqual(handed, BUDGET)
@@ -533,7 +539,7 @@
         for turn, tokens in zip(turns, (64, 34), strict=True):
             self.assertIsInstance(turn, DelegatedTurn)
             if await turn.cover(tokens):
-                turn.hand_out(tokens)
+                turn.record_usage(tokens)
                 handed += tokens
         self.assertLessEqual(handed, await self.granted(self.delegate))
 
@@ -570,7 +576,7 @@
         self.delegate.turn_server.stopping = True
         second = await self.opened(self.other, start("t2"))
         self.assertIsInstance(second, LocalTurn)
-        first.announce()
+        first.write_index()
         await first.commit(b"in", b"out")
         self.assertEqual(self.delegate.turn_server.open_turns, 0)
 
@@ -581,7 +587,7 @@
         through both processes. Neither can have tokens granted any more.
         """
         first = await self.opened(self.other, start("t0", kept=False))
-        first.hand_out(10)
+        first.record_usage(10)
         first.close()
         for process in (self.delegate, self.other):
             process.client.faults.down = True
@@ -589,10 +595,10 @@
         for number in range(8):
             process = (self.delegate, self.other)[number % 2]
             found = await process.turns.open(start(f"t{number + 1}", kept=False))
-            if isinstance(found, Lookup | BudgetVerdict):
+            if isinstance(found, LookupFailure | BudgetVerdict):
                 break
             ran += 1
-            found.hand_out(10)
+            found.record_usage(10)
             found.close()
         self.assertGreaterEqual(ran, 2)
 
@@ -652,7 +658,7 @@
         """
         self.late(OpenTurnRequest)
         budget = int(1.6 * MOST)
-        found: OpenTurn | Lookup | BudgetVerdict = BudgetVerdict.HELD
+        found: OpenTurn | LookupFailure | BudgetVerdict = BudgetVerdict.HELD
         for number in range(TRIES):
             begun = start(f"t{number}", budget=budget, lifetime=PATIENCE)
             found = await self.other.turns.open(begun)
@@ -693,11 +699,11 @@
         self.late(ConfirmTurnRequest)
         turn = await self.opened(self.other, start("t1", kept=False))
         self.assertIn("after all", turn.where)
-        turn.hand_out(10)
+        turn.record_usage(10)
         turn.close()
         await asyncio.sleep(2 * LIFETIME)
-        self.other.ledger._budgets.give_back_all()
-        self.delegate.ledger._budgets.give_back_all()
+        self.other.ledger._budgets.release_all()
+        self.delegate.ledger._budgets.release_all()
         await self.settled(10)
 
     async def test_end_is_told_where_the_commit_was_not(self) -> None:
@@ -708,12 +714,12 @@
         """
         turn = await self.opened(self.other, start("t1", lifetime=PATIENCE))
         self.deaf(CommitTurnRequest)
-        turn.announce()
-        turn.hand_out(10)
+        turn.write_index()
+        turn.record_usage(10)
         await turn.commit(b"in", b"out")
         turn.close()
         await self.ended_at_delegate(within=SETTLE_TIME)
-        self.delegate.ledger._budgets.give_back_all()
+        self.delegate.ledger._budgets.release_all()
         await self.settled(10)
 
     async def test_end_that_is_lost_is_told_again(self) -> None:
@@ -724,10 +730,10 @@
         """
         turn = await self.opened(self.other, start("t1", kept=False, lifetime=PATIENCE))
         self.deaf(CloseTurnRequest)
-        turn.hand_out(10)
+        turn.record_usage(10)
         turn.close()
         await self.ended_at_delegate(within=SETTLE_TIME)
-        self.delegate.ledger._budgets.give_back_all()
+        self.delegate.ledger._budgets.release_all()
         await self.settled(10)
 
     async def test_end_that_overtakes_the_beginning(self) -> None:
@@ -791,10 +797,10 @@
         earlier = await self.opened(self.other, self.begun("t1"))
         newer = await self.opened(self.other, self.begun("t2"))
         self.assertTrue(await earlier.cover(COVERED))
-        earlier.hand_out(COVERED)
+        earlier.record_usage(COVERED)
         for _ in range(2):
             self.assertTrue(await earlier.cover(BESIDE // 2))
-            earlier.hand_out(BESIDE // 2)
+            earlier.record_usage(BESIDE // 2)
         self.assertFalse(await earlier.cover(1))
         self.assertEqual(self.other.delegates.of(PROGRAM), self.delegate.name)
         await self.run_whole(newer)
@@ -807,7 +813,7 @@
         """
         earlier = await self.opened(self.other, self.begun("t1"))
         newer = await self.opened(self.other, self.begun("t2"))
-        newer.hand_out(10)
+        newer.record_usage(10)
         newer.close()
         await self.run_whole(earlier)
 
@@ -818,7 +824,7 @@
         than the first one tells the delegate.
         """
         earlier = await self.opened(self.other, self.begun("t1"))
-        earlier.hand_out(10)
+        earlier.record_usage(10)
         newer = await self.opened(self.other, self.begun("t2"))
         earlier.close()
         await self.run_whole(newer)
@@ -834,7 +840,7 @@
         """
         newer = await self.opened(self.other, self.begun("t2"))
         late = await self.opened(self.other, self.begun("t1"))
-        newer.hand_out(COVERED)
+        newer.record_usage(COVERED)
         asking = asyncio.create_task(newer.cover(MOST - COVERED))
         await asyncio.sleep(LATE)
         late.close()
@@ -865,7 +871,7 @@
         """Hand out the most of a turn by events, and end it."""
         for _ in range(10):
             self.assertTrue(await turn.cover(MOST // 10))
-            turn.hand_out(MOST // 10)
+            turn.record_usage(MOST // 10)
         turn.close()
 
 
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -30,11 +30,11 @@
 from ...ledger.holds import NoLender
 from ...ledger.ledger import Ledger
 from ...ledger.loans import FORGET_AFTER, LoanBook
-from ...ledger.places import Places
+from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
-from ...ledger.split import PartLent
+from ...ledger.split import LendingSplit
 from ...ledger.terms import BudgetVerdict, TurnStart, TurnTerms
-from ...ledger.turns import LOG_PATIENCE, LocalTurn, LocalTurns
+from ...ledger.turns import LOG_TIMEOUT, LocalTurn, LocalTurns
 from ...routing.follower import TopicFollower
 from ...standins.keyed_store import KeyedStore
 from ...wire.links import Send
@@ -102,10 +102,10 @@
         self.ledger = Ledger(
             log=self.client,
             writer=self.writer,
-            places=Places(per_topic=2),
-            split=PartLent(),
+            partition_map=PartitionMap(per_topic=2),
+            split=LendingSplit(),
         )
-        self.book = LoanBook(split=PartLent(), carried=self.claims.carried)
+        self.book = LoanBook(split=LendingSplit(), carried=self.claims.carried)
         self.seen_from = 0.0
         self.now = 0.0
         self.standing = Standing()
@@ -265,7 +265,7 @@
         """
         self.take_store_away()
         turn = await self.lent(self.other, "turn-1")
-        turn.hand_out(30)
+        turn.record_usage(30)
         commit = asyncio.create_task(turn.commit(b"in", b"out"))
         await asyncio.sleep(0.2)
         self.assertFalse(commit.done())
@@ -300,19 +300,19 @@
             opened = await process.turns.open(start(f"turn-{number}"))
             if isinstance(opened, LocalTurn):
                 assert opened.covered is not None
-                opened.hand_out(opened.covered)
+                opened.record_usage(opened.covered)
                 handed += opened.covered
                 opened.close()
             else:
                 self.assertIs(opened, BudgetVerdict.UNCERTAIN)
-        self.assertEqual(handed, PartLent().lent(BUDGET, 0))
+        self.assertEqual(handed, LendingSplit().lender_limit(BUDGET, 0))
 
     async def test_turns_that_use_little_go_on(self) -> None:
         """Lend again what turns did not use, for as long as the outage lasts."""
         self.take_store_away()
         for number in range(6):
             turn = await self.lent(self.other, f"turn-{number}", most=200)
-            turn.hand_out(40)
+            turn.record_usage(40)
             turn.close()
             await self.until(lambda: not self._owes())
 
@@ -329,14 +329,14 @@
         opened = await self.other.turns.open(start("turn-1"))
         assert isinstance(opened, LocalTurn)
         self.assertIs(await opened.verdict(), BudgetVerdict.FITS)
-        opened.hand_out(30)
+        opened.record_usage(30)
         opened.close()
         self.take_store_away()
         for number in (2, 3, 4):
             turn = await self.other.turns.open(start(f"turn-{number}"))
             assert isinstance(turn, LocalTurn)
             self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
-            turn.hand_out(30)
+            turn.record_usage(30)
             turn.close()
             await self.until(lambda: not self._owes())
 
@@ -346,10 +346,10 @@
         first = await self.lent(self.other, "turn-1", most=200)
         second = await self.lent(self.other, "turn-2", most=300)
         self.assertEqual(second.covered, 175)
-        second.hand_out(170)
+        second.record_usage(170)
         self.assertFalse(await second.cover(10))
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
+        await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         self.assertTrue(await second.cover(10))
 
     async def test_loan_that_is_used_up_goes_on_in_the_log(self) -> None:
@@ -357,7 +357,7 @@
         self.take_store_away()
         await self.lent(self.other, "turn-1", most=200)
         turn = await self.lent(self.other, "turn-2", most=300)
-        turn.hand_out(170)
+        turn.record_usage(170)
         for process in self.processes:
             process.client.faults.down = False
         self.assertTrue(await turn.cover(10))
@@ -374,11 +374,11 @@
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
         self.assertEqual(turn.covered, 100)
-        turn.hand_out(90)
+        turn.record_usage(90)
         self.take_store_away()
         self.assertTrue(await turn.cover(60))
         self.assertIn("lent", turn.where)
-        turn.hand_out(60)
+        turn.record_usage(60)
         turn.close()
         await self.until(lambda: not self._owes())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 60})
@@ -393,7 +393,7 @@
         turn = await self.other.turns.open(start("turn-1", budget=600, most=500))
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
-        turn.hand_out(160)
+        turn.record_usage(160)
         self.take_store_away()
         covering = asyncio.create_task(turn.cover(200))
         await asyncio.sleep(0.5)
@@ -504,7 +504,7 @@
         """
         self.take_store_away()
         turn = await self.lent(self.other, "turn-1", most=100)
-        turn.hand_out(100)
+        turn.record_usage(100)
         turn.close()
         await self.until(lambda: not self._owes())
         for process in self.processes:
@@ -515,7 +515,7 @@
         await self.until(lambda: any(one.place == 0 for one in left))
         await self.until(lambda: self._knows_a_lender(self.other))
         follower = next(one for one in left if one.place == 0)
-        self.assertEqual(follower.book.lend_left(PROGRAM, BUDGET, 0), 275)
+        self.assertEqual(follower.book.available(PROGRAM, BUDGET, 0), 275)
         refused = await self.lender.turns.open(start("turn-2"))
         assert isinstance(refused, LocalTurn)
         self.assertIsNone(refused.covered)
@@ -548,7 +548,7 @@
         slow = SlowAnswers(self.lender)
         slow.settlements_lost = 1
         turn = await self.lent(self.other, "turn-1", most=300)
-        turn.hand_out(40)
+        turn.record_usage(40)
         turn.close()
         await asyncio.sleep(RETRY_TIMEOUT)
         await self.until(lambda: not self._owes())
@@ -603,12 +603,12 @@
         self.take_store_away()
         first = await self.lent(self.other, "turn-1", most=200)
         second = await self.lent(self.other, "turn-2", most=300)
-        second.hand_out(170)
+        second.record_usage(170)
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
+        await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
-        slow.answer_delay = 2 * LOG_PATIENCE
-        self.assertFalse(await second._cover_soon(180))
+        slow.answer_delay = 2 * LOG_TIMEOUT
+        self.assertFalse(await second._cover_in_time(180))
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 300})
         self.assertEqual(second.covered, 175)
         self.assertTrue(second.covers(5))
@@ -634,9 +634,9 @@
         assert isinstance(opened, TurnOpened)
         self.assertEqual(opened.covered, 175)
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
+        await self.until(lambda: self.lender.book.available(PROGRAM, BUDGET, 0) > 150)
         slow = SlowAnswers(self.lender)
-        slow.answer_delay = 2 * LOG_PATIENCE
+        slow.answer_delay = 2 * LOG_TIMEOUT
         asked = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
         await delegate.answer(asked, mock.AsyncMock())
         await self.until(lambda: not self._owes())
@@ -652,7 +652,7 @@
         self.take_store_away()
         await self.lent(self.other, "turn-1", most=200)
         turn = await self.lent(self.other, "turn-2", most=300)
-        turn.hand_out(175)
+        turn.record_usage(175)
         covering = asyncio.create_task(turn.cover(10))
         await asyncio.sleep(0.5)
         self.assertFalse(covering.done())
@@ -701,7 +701,7 @@
             one for one in self.processes if one not in (self.lender, self.other)
         )
         turn = await self.lent(third, "turn-2", most=75)
-        turn.hand_out(75)
+        turn.record_usage(75)
         turn.close()
         await self.until(lambda: self.lender.book.totals() == {PROGRAM: 375})
         clock = mock.Mock(return_value=time.monotonic() + RETENTION + FORGET_AFTER + 1)
@@ -725,7 +725,7 @@
         lender = next(one for one in self.processes if one.place is not None)
         other = next(one for one in self.processes if one.place is None)
         self.assertEqual(lender.place, 2)
-        self.assertEqual(lender.book.lend_left(PROGRAM, BUDGET, 2), 23)
+        self.assertEqual(lender.book.available(PROGRAM, BUDGET, 2), 23)
         await asyncio.sleep(0.3)
         clock.return_value = LENDING_LEASE + RETENTION + RETIRE_MARGIN
         await asyncio.sleep(0.3)
@@ -781,7 +781,7 @@
             self.assertIs(await opened.verdict(), BudgetVerdict.FITS)
             # What a turn holds at first is less near the end of a budget.
             self.assertTrue(await opened.cover(MOST))
-            opened.hand_out(MOST)
+            opened.record_usage(MOST)
             opened.close()
             handed += MOST
         self.assertEqual(handed, 1900)
@@ -808,7 +808,7 @@
 
         ledger = mock.Mock(spec=Ledger, reserve=reserve)
         opening = asyncio.create_task(LocalTurns(ledger=ledger).open(start("turn")))
-        await asyncio.sleep(2 * LOG_PATIENCE)
+        await asyncio.sleep(2 * LOG_TIMEOUT)
         granted.set()
         with self.assertRaises(asyncio.CancelledError):
             await opening
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -29,7 +29,7 @@
 from ..ledger.terms import (
     BudgetVerdict,
     History,
-    Lookup,
+    LookupFailure,
     TurnContent,
     TurnStart,
     TurnTerms,
@@ -504,7 +504,7 @@
 class TurnRefused(Message, frozen=True, kw_only=True, tag="turn_refused"):
     """Report why a turn was not opened; exactly one of the fields is set."""
 
-    lookup: Lookup | None = None
+    lookup: LookupFailure | None = None
     verdict: BudgetVerdict | None = None
 
 
