--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -32,13 +32,13 @@
 from ..workspaces.shares import Keepers
 from ..workspaces.spans import QuotaBounds
 from ..workspaces.tenure import Tenure
-from .claiming import Claiming
 from .claims import TOPIC as CLAIMS_TOPIC, Claims
 from .delegates import DelegatedTurns, Delegates
 from .joining import Joining
 from .lenders import Lenders
 from .peers import TOPIC as PEERS_TOPIC, Peers
 from .quotas import FleetQuotas
+from .slot_claimer import Claiming
 from .standing import Standing
 from .target_reports import TargetReports
 from .turn_server import TurnServer
--- a/sequoiaarch/fleet/lenders.py
+++ b/sequoiaarch/fleet/lenders.py
@@ -17,9 +17,9 @@
     Request,
     SettleRequest,
 )
-from .claiming import Claiming
 from .claims import Claims, slot_of
 from .peers import Peers
+from .slot_claimer import Claiming
 from .standing import Standing
 from .telling import RETRY_TIMEOUT, Telling
 from .turn_server import failed
--- a/sequoiaarch/tests/fleet/growth_tests.py
+++ b/sequoiaarch/tests/fleet/growth_tests.py
@@ -11,10 +11,10 @@
 import zmq.asyncio
 
 from ...fleet import ranking
-from ...fleet.claiming import Claiming
 from ...fleet.claims import SLOTS, Claims, slot_name
 from ...fleet.delegates import Delegates
 from ...fleet.peers import PeerRecord, Peers
+from ...fleet.slot_claimer import Claiming
 from ...fleet.standing import Standing
 from ...ids import DataCentre, HostName, Offset, ProgramId, WriterId
 from ...ledger.loans import LoanBook
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -11,8 +11,7 @@
 
 import zmq.asyncio
 
-from ...fleet import claiming as claiming_module
-from ...fleet.claiming import Claiming
+from ...fleet import slot_claimer as claiming_module
 from ...fleet.claims import (
     LENDING_LEASE,
     RETIRE_MARGIN,
@@ -23,6 +22,7 @@
 )
 from ...fleet.lenders import ASK_TIMEOUT, Lenders
 from ...fleet.peers import TOPIC as PEERS_TOPIC, Peers, PeerServer
+from ...fleet.slot_claimer import Claiming
 from ...fleet.standing import GONE_FAILURES, Standing
 from ...fleet.telling import RETRY_TIMEOUT
 from ...fleet.turn_server import TurnServer
--- a/sequoiaarch/tests/platform/outage_tests.py
+++ b/sequoiaarch/tests/platform/outage_tests.py
@@ -8,7 +8,7 @@
 
 import zmq.asyncio
 
-from ...fleet import claiming
+from ...fleet import slot_claimer
 from ...fleet.peers import Peers
 from ...ids import DataCentre, HostName
 from ...ingress.daemon import IngressDaemon
@@ -32,7 +32,7 @@
         """Start the gateway and wait for its claim."""
         await super().asyncSetUp()
         for name in ("FIRST_CLAIM", "CLAIM_INTERVAL"):
-            patch = mock.patch.object(claiming, name, 0.05)
+            patch = mock.patch.object(slot_claimer, name, 0.05)
             patch.start()
             self.addCleanup(patch.stop)
         self.context = zmq.asyncio.Context()
