--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -33,7 +33,7 @@
 PARTITION = Partition(topic=TOPIC, number=0)
 # All processes start together and register within a second; who claims before
 # that takes what others would share. Seconds.
-FIRST_CLAIM = 3.0
+FIRST_CLAIM_DELAY = 3.0
 CLAIM_INTERVAL = 2.0
 RETRY_SECONDS = 0.5
 # What a stopped process had lent goes into one record, which the store bounds at
@@ -89,7 +89,7 @@
 
     async def run(self, keyed_log: KeyedLog, retention: Callable[[], float]) -> None:
         """Claim slots that nobody lends to, and remove claims of the past."""
-        await asyncio.sleep(FIRST_CLAIM)
+        await asyncio.sleep(FIRST_CLAIM_DELAY)
         while True:
             self._book.forget_old()
             slots = self._to_claim()
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -198,7 +198,7 @@
 
     async def asyncSetUp(self) -> None:
         """Start three processes, one of which lends to the program."""
-        for name, value in (("FIRST_CLAIM", 0.3), ("CLAIM_INTERVAL", 0.1)):
+        for name, value in (("FIRST_CLAIM_DELAY", 0.3), ("CLAIM_INTERVAL", 0.1)):
             patch = mock.patch.object(claiming_module, name, value)
             patch.start()
             self.addCleanup(patch.stop)
--- a/sequoiaarch/tests/platform/outage_tests.py
+++ b/sequoiaarch/tests/platform/outage_tests.py
@@ -31,7 +31,7 @@
     async def asyncSetUp(self) -> None:
         """Start the gateway and wait for its claim."""
         await super().asyncSetUp()
-        for name in ("FIRST_CLAIM", "CLAIM_INTERVAL"):
+        for name in ("FIRST_CLAIM_DELAY", "CLAIM_INTERVAL"):
             patch = mock.patch.object(slot_claimer, name, 0.05)
             patch.start()
             self.addCleanup(patch.stop)
