--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -162,7 +162,7 @@
         return [slot for slot in range(SLOTS) if slot not in claimed]
 
 
-class Retirement:
+class ClaimExpiry:
     """Say which claims can no longer matter, so that places don't run out.
 
     A claim may go when its process can't lend any more and no program that it
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -18,9 +18,9 @@
     LENDING_LEASE,
     TOPIC,
     CarriedRecord,
+    ClaimExpiry,
     ClaimRecord,
     Claims,
-    Retirement,
     slot_name,
     slot_of,
 )
@@ -68,7 +68,7 @@
         self._standing = standing
         self._seen_from = seen_from
         self._clock = clock
-        self.retirement = Retirement()
+        self.retirement = ClaimExpiry()
         self._stopped = False
         self._appends = itertools.count()
 
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -16,8 +16,8 @@
     LENDING_LEASE,
     RETIRE_MARGIN,
     TOPIC as CLAIMS_TOPIC,
+    ClaimExpiry,
     Claims,
-    Retirement,
     slot_of,
 )
 from ...fleet.lenders import ASK_TIMEOUT, Lenders
@@ -453,7 +453,7 @@
         lend the same tokens to a program that comes back.
         """
         clock = mock.Mock(return_value=0.0)
-        self.other.claiming.retirement = Retirement(clock=clock)
+        self.other.claiming.retirement = ClaimExpiry(clock=clock)
         for _ in range(GONE_FAILURES):
             self.other.standing._until.clear()
             self.other.standing.failed(self.lender.name, "no reply")
@@ -721,7 +721,7 @@
             await self._lose_all(loss)
         clock = mock.Mock(return_value=0.0)
         for process in self.processes:
-            process.claiming.retirement = Retirement(clock=clock)
+            process.claiming.retirement = ClaimExpiry(clock=clock)
         lender = next(one for one in self.processes if one.place is not None)
         other = next(one for one in self.processes if one.place is None)
         self.assertEqual(lender.place, 2)
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from ...fleet.claims import LENDING_LEASE, RETIRE_MARGIN, Claims, Retirement
+from ...fleet.claims import LENDING_LEASE, RETIRE_MARGIN, ClaimExpiry, Claims
 from ...ids import LoanId, Offset, ProgramId, TurnId
 from ...ledger import loans as loans_module
 from ...ledger.loans import FORGET_AFTER, REMEMBER_SETTLED, LoanBook
@@ -213,27 +213,27 @@
         same tokens to a program that comes back.
         """
         clock = Clock()
-        retirement = Retirement(clock=clock)
+        expiry = ClaimExpiry(clock=clock)
         claims = Claims()
         claims.change(self.record("a", 0))
         gone = lambda writer: False  # noqa: E731
-        self.assertEqual(retirement.due(claims.writers(), gone, RETENTION), [])
+        self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), [])
         clock.now = LENDING_LEASE + RETENTION + RETIRE_MARGIN
-        self.assertEqual(retirement.due(claims.writers(), gone, RETENTION), [])
+        self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), [])
         clock.now += 1
-        self.assertEqual(retirement.due(claims.writers(), gone, RETENTION), ["a/0"])
+        self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), ["a/0"])
 
     def test_claim_of_a_process_that_came_back_stays(self) -> None:
         """Begin to count again when a registration is seen once more."""
         clock = Clock()
-        retirement = Retirement(clock=clock)
+        expiry = ClaimExpiry(clock=clock)
         claims = Claims()
         claims.change(self.record("a", 0))
-        retirement.due(claims.writers(), lambda writer: False, RETENTION)
+        expiry.due(claims.writers(), lambda writer: False, RETENTION)
         clock.now = 150.0
-        retirement.due(claims.writers(), lambda writer: True, RETENTION)
+        expiry.due(claims.writers(), lambda writer: True, RETENTION)
         clock.now = 200.0
-        due = retirement.due(claims.writers(), lambda writer: False, RETENTION)
+        due = expiry.due(claims.writers(), lambda writer: False, RETENTION)
         self.assertEqual(due, [])
 
 
