--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -25,7 +25,7 @@
 LENDING_LEASE = 60.0
 # Beyond the lease and the longest retention, before a claim is removed: what a
 # program may take to come back and to end. Seconds.
-RETIRE_MARGIN = 60.0
+EXPIRY_MARGIN = 60.0
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True, tag="claim"):
@@ -188,5 +188,5 @@
         now = self._clock()
         gone = {key for key, writer in writers.items() if not live(writer)}
         self._gone_since = {key: self._gone_since.get(key, now) for key in sorted(gone)}
-        wait = LENDING_LEASE + retention + RETIRE_MARGIN
+        wait = LENDING_LEASE + retention + EXPIRY_MARGIN
         return [key for key, since in self._gone_since.items() if since + wait < now]
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -13,8 +13,8 @@
 
 from ...fleet import slot_claimer as claiming_module
 from ...fleet.claims import (
+    EXPIRY_MARGIN,
     LENDING_LEASE,
-    RETIRE_MARGIN,
     TOPIC as CLAIMS_TOPIC,
     ClaimExpiry,
     Claims,
@@ -727,7 +727,7 @@
         self.assertEqual(lender.place, 2)
         self.assertEqual(lender.book.lend_left(PROGRAM, BUDGET, 2), 23)
         await asyncio.sleep(0.3)
-        clock.return_value = LENDING_LEASE + RETENTION + RETIRE_MARGIN
+        clock.return_value = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
         await asyncio.sleep(0.3)
         self.take_store_away()
         refused = await other.turns.open(start("turn-1", most=100))
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from ...fleet.claims import LENDING_LEASE, RETIRE_MARGIN, ClaimExpiry, Claims
+from ...fleet.claims import EXPIRY_MARGIN, LENDING_LEASE, ClaimExpiry, Claims
 from ...ids import LoanId, Offset, ProgramId, TurnId
 from ...ledger import loans as loans_module
 from ...ledger.loans import FORGET_AFTER, REMEMBER_SETTLED, LoanBook
@@ -218,7 +218,7 @@
         claims.change(self.record("a", 0))
         gone = lambda writer: False  # noqa: E731
         self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), [])
-        clock.now = LENDING_LEASE + RETENTION + RETIRE_MARGIN
+        clock.now = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
         self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), [])
         clock.now += 1
         self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), ["a/0"])
