--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -175,7 +175,7 @@
         self._clock = clock
         self._gone_since: dict[str, float] = {}
 
-    def due(
+    def expired(
         self,
         writers: Mapping[str, WriterId],
         live: Callable[[WriterId], bool],
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -144,7 +144,9 @@
 
         A process that only this one can't reach still lends to others.
         """
-        return self.retirement.due(self._claims.writers(), self._registered, retention)
+        return self.retirement.expired(
+            self._claims.writers(), self._registered, retention
+        )
 
     def _registered(self, writer: WriterId) -> bool:
         return self.host(writer) is not None
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -217,11 +217,11 @@
         claims = Claims()
         claims.change(self.record("a", 0))
         gone = lambda writer: False  # noqa: E731
-        self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), [])
+        self.assertEqual(expiry.expired(claims.writers(), gone, RETENTION), [])
         clock.now = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
-        self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), [])
+        self.assertEqual(expiry.expired(claims.writers(), gone, RETENTION), [])
         clock.now += 1
-        self.assertEqual(expiry.due(claims.writers(), gone, RETENTION), ["a/0"])
+        self.assertEqual(expiry.expired(claims.writers(), gone, RETENTION), ["a/0"])
 
     def test_claim_of_a_process_that_came_back_stays(self) -> None:
         """Begin to count again when a registration is seen once more."""
@@ -229,12 +229,12 @@
         expiry = ClaimExpiry(clock=clock)
         claims = Claims()
         claims.change(self.record("a", 0))
-        expiry.due(claims.writers(), lambda writer: False, RETENTION)
+        expiry.expired(claims.writers(), lambda writer: False, RETENTION)
         clock.now = 150.0
-        expiry.due(claims.writers(), lambda writer: True, RETENTION)
+        expiry.expired(claims.writers(), lambda writer: True, RETENTION)
         clock.now = 200.0
-        due = expiry.due(claims.writers(), lambda writer: False, RETENTION)
-        self.assertEqual(due, [])
+        expired = expiry.expired(claims.writers(), lambda writer: False, RETENTION)
+        self.assertEqual(expired, [])
 
 
 BUDGET = 16
