--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -137,7 +137,7 @@
         """Return all claims in the order of the log."""
         return sorted(self._claims.values(), key=lambda one: one.offset)
 
-    def of(self, slot: int) -> list[Lending]:
+    def lenders_of(self, slot: int) -> list[Lending]:
         """Return the lenders of a slot, the first one first."""
         if self._lenders is None:
             self._lenders = self._by_slot()
--- a/sequoiaarch/fleet/lenders.py
+++ b/sequoiaarch/fleet/lenders.py
@@ -122,7 +122,7 @@
         """Return a loan of `least` tokens or more; None where there is none."""
         request = LendRequest(loan=self._next_loan(), terms=terms, least=least)
         asked = 0
-        for lending in self._claims.of(slot_of(terms.program)):
+        for lending in self._claims.lenders_of(slot_of(terms.program)):
             host = self._claiming.host(lending.writer)
             if host is None or not self._standing.usable(host):
                 continue
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -78,7 +78,7 @@
             return None
         if self._clock() - self._seen_from() > LENDING_LEASE:
             return None
-        for lending in self._claims.of(slot_of(program)):
+        for lending in self._claims.lenders_of(slot_of(program)):
             if lending.writer == self._writer:
                 return lending.place
         return None
--- a/sequoiaarch/tests/fleet/growth_tests.py
+++ b/sequoiaarch/tests/fleet/growth_tests.py
@@ -134,9 +134,11 @@
                 offset=Offset(number),
             )
             claims.change(record)
-        self.assertEqual(len(claims.of(7)), 540)
+        self.assertEqual(len(claims.lenders_of(7)), 540)
         with mock.patch.object(claims, "all") as sorting:
-            self.assertEqual([one.place for one in claims.of(7)], list(range(540)))
+            self.assertEqual(
+                [one.place for one in claims.lenders_of(7)], list(range(540))
+            )
         sorting.assert_not_called()
 
 
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -160,7 +160,7 @@
     @property
     def place(self) -> int | None:
         """Return the place for the program; None without a claim."""
-        for lending in self.claims.of(slot_of(PROGRAM)):
+        for lending in self.claims.lenders_of(slot_of(PROGRAM)):
             if lending.writer == self.writer:
                 return lending.place
         return None
@@ -254,7 +254,7 @@
         return found
 
     def _knows_a_lender(self, process: Process) -> bool:
-        return bool(process.claims.of(slot_of(PROGRAM)))
+        return bool(process.claims.lenders_of(slot_of(PROGRAM)))
 
     async def test_program_begins_while_the_store_is_away(self) -> None:
         """Serve a new program in an outage, through any data centre.
@@ -440,7 +440,9 @@
                 process.standing._until.clear()
                 process.standing.failed(self.lender.name, "no reply")
         await self.until(lambda: any(one.place == 1 for one in left))
-        await self.until(lambda: len(self.other.claims.of(slot_of(PROGRAM))) == 2)
+        await self.until(
+            lambda: len(self.other.claims.lenders_of(slot_of(PROGRAM))) == 2
+        )
         self.take_store_away()
         await self.lent(self.other, "turn-1", most=90)
 
@@ -736,7 +738,7 @@
             process.client.faults.down = False
         clock.return_value += 1
         await self.until(lambda: lender.place == 0)
-        await self.until(lambda: len(other.claims.of(slot_of(PROGRAM))) == 1)
+        await self.until(lambda: len(other.claims.lenders_of(slot_of(PROGRAM))) == 1)
         self.take_store_away()
         turn = await self.lent(other, "turn-2", most=375)
         self.assertEqual(turn.covered, 375)
@@ -761,7 +763,7 @@
         await self.until(lambda: all(map(self._knows_a_living_lender, self.processes)))
 
     def _knows_a_living_lender(self, process: Process) -> bool:
-        lenders = process.claims.of(slot_of(PROGRAM))
+        lenders = process.claims.lenders_of(slot_of(PROGRAM))
         return any(process.claiming.host(one.writer) is not None for one in lenders)
 
     async def test_spent_log_is_continued_by_the_lender(self) -> None:
