--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -63,7 +63,7 @@
     """Name a lender of a slot; each place has a part of the budget of its own."""
 
     writer: WriterId
-    place: int
+    rank: int
 
 
 def slot_of(program: ProgramId) -> int:
@@ -149,7 +149,7 @@
         for claim in self.all():
             for slot in set(claim.record.slots):
                 lenders = found.setdefault(slot, [])
-                lending = Lending(writer=claim.record.writer, place=len(lenders))
+                lending = Lending(writer=claim.record.writer, rank=len(lenders))
                 lenders.append(lending)
         return found
 
--- a/sequoiaarch/fleet/lenders.py
+++ b/sequoiaarch/fleet/lenders.py
@@ -193,7 +193,7 @@
         self._telling.tell(link, request, patience=SETTLE_PATIENCE)
 
     def _lend(self, request: LendRequest) -> int:
-        place = self._claiming.place(request.terms.program)
-        if place is None:
+        rank = self._claiming.rank(request.terms.program)
+        if rank is None:
             return 0
-        return self._book.lend(request.loan, request.terms, place, request.least)
+        return self._book.lend(request.loan, request.terms, rank, request.least)
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -72,7 +72,7 @@
         self._stopped = False
         self._appends = itertools.count()
 
-    def place(self, program: ProgramId) -> int | None:
+    def rank(self, program: ProgramId) -> int | None:
         """Return this process's place for a program; None if it may not lend."""
         if self._stopped or not self._peers.registered(self._writer):
             return None
@@ -80,7 +80,7 @@
             return None
         for lending in self._claims.lenders_of(slot_of(program)):
             if lending.writer == self._writer:
-                return lending.place
+                return lending.rank
         return None
 
     def host(self, writer: WriterId) -> HostName | None:
--- a/sequoiaarch/tests/fleet/growth_tests.py
+++ b/sequoiaarch/tests/fleet/growth_tests.py
@@ -137,7 +137,7 @@
         self.assertEqual(len(claims.lenders_of(7)), 540)
         with mock.patch.object(claims, "all") as sorting:
             self.assertEqual(
-                [one.place for one in claims.lenders_of(7)], list(range(540))
+                [one.rank for one in claims.lenders_of(7)], list(range(540))
             )
         sorting.assert_not_called()
 
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -158,11 +158,11 @@
         return [asyncio.create_task(part) for part in parts]
 
     @property
-    def place(self) -> int | None:
+    def rank(self) -> int | None:
         """Return the place for the program; None without a claim."""
         for lending in self.claims.lenders_of(slot_of(PROGRAM)):
             if lending.writer == self.writer:
-                return lending.place
+                return lending.rank
         return None
 
 
@@ -208,8 +208,8 @@
         self.tasks: dict[str, list[asyncio.Task[None]]] = {}
         self.processes = [self.process(name) for name in ("one", "two", "three")]
         await self.until(lambda: all(self._knows_a_lender(p) for p in self.processes))
-        self.lender = next(p for p in self.processes if p.place == 0)
-        self.other = next(p for p in self.processes if p.place is None)
+        self.lender = next(p for p in self.processes if p.rank == 0)
+        self.other = next(p for p in self.processes if p.rank is None)
 
     async def asyncTearDown(self) -> None:
         """End everything."""
@@ -439,7 +439,7 @@
             for _ in range(GONE_FAILURES):
                 process.standing._until.clear()
                 process.standing.failed(self.lender.name, "no reply")
-        await self.until(lambda: any(one.place == 1 for one in left))
+        await self.until(lambda: any(one.rank == 1 for one in left))
         await self.until(
             lambda: len(self.other.claims.lenders_of(slot_of(PROGRAM))) == 2
         )
@@ -489,8 +489,8 @@
         self.processes.append(fresh)
         self.tasks[name] = fresh.parts()
         self.closing.append(fresh.server.close)
-        await self.until(lambda: fresh.place is not None)
-        self.assertEqual(fresh.place, 1)
+        await self.until(lambda: fresh.rank is not None)
+        self.assertEqual(fresh.rank, 1)
         await self.until(lambda: self.other.claiming.host(fresh.writer) is not None)
         self.take_store_away()
         turn = await self.lent(self.other, "turn-last", most=90)
@@ -514,9 +514,9 @@
         await self.lender.claiming.stop(self.lender.client)
         await self.lender.peers.unregister(self.lender.client, self.lender.writer)
         left = [one for one in self.processes if one is not self.lender]
-        await self.until(lambda: any(one.place == 0 for one in left))
+        await self.until(lambda: any(one.rank == 0 for one in left))
         await self.until(lambda: self._knows_a_lender(self.other))
-        follower = next(one for one in left if one.place == 0)
+        follower = next(one for one in left if one.rank == 0)
         self.assertEqual(follower.book.lend_left(PROGRAM, BUDGET, 0), 275)
         refused = await self.lender.turns.open(start("turn-2"))
         assert isinstance(refused, LocalTurn)
@@ -724,9 +724,9 @@
         clock = mock.Mock(return_value=0.0)
         for process in self.processes:
             process.claiming.retirement = ClaimExpiry(clock=clock)
-        lender = next(one for one in self.processes if one.place is not None)
-        other = next(one for one in self.processes if one.place is None)
-        self.assertEqual(lender.place, 2)
+        lender = next(one for one in self.processes if one.rank is not None)
+        other = next(one for one in self.processes if one.rank is None)
+        self.assertEqual(lender.rank, 2)
         self.assertEqual(lender.book.lend_left(PROGRAM, BUDGET, 2), 23)
         await asyncio.sleep(0.3)
         clock.return_value = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
@@ -737,7 +737,7 @@
         for process in self.processes:
             process.client.faults.down = False
         clock.return_value += 1
-        await self.until(lambda: lender.place == 0)
+        await self.until(lambda: lender.rank == 0)
         await self.until(lambda: len(other.claims.lenders_of(slot_of(PROGRAM))) == 1)
         self.take_store_away()
         turn = await self.lent(other, "turn-2", most=375)
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -185,7 +185,7 @@
 
     def places(self, claims: Claims, slot: int) -> dict[str, int]:
         """Return the places of all processes that claimed a slot."""
-        return {one.writer: one.place for one in claims.lenders_of(slot)}
+        return {one.writer: one.rank for one in claims.lenders_of(slot)}
 
     def test_places_follow_the_log_in_every_view(self) -> None:
         """Agree on places, whether claims came one by one or in a list."""
