--- a/sequoiaarch/fleet/ranking.py
+++ b/sequoiaarch/fleet/ranking.py
@@ -10,15 +10,15 @@
 from .claims import slot_name
 
 
-def rank(name: str, host: HostName) -> int:
+def score(name: str, host: HostName) -> int:
     """Return the rank of a host for a name; the highest one comes first."""
     return xxhash.xxh32_intdigest(f"{name}/{host}".encode())
 
 
 def place_of(own: HostName, name: str, hosts: Iterable[HostName]) -> int:
     """Return how many hosts come before the own one for a name."""
-    limit = rank(name, own)
-    return sum(rank(name, host) > limit for host in hosts)
+    limit = score(name, own)
+    return sum(score(name, host) > limit for host in hosts)
 
 
 def leads(own: HostName, name: str, hosts: Iterable[HostName]) -> bool:
@@ -27,8 +27,8 @@
     Of many hosts few have to be looked at: each comes before the own one as
     likely as not.
     """
-    limit = rank(name, own)
-    return not any(rank(name, host) > limit for host in hosts)
+    limit = score(name, own)
+    return not any(score(name, host) > limit for host in hosts)
 
 
 class SlotRanking:
@@ -61,6 +61,6 @@
         if found is None:
             name = slot_name(slot)
             hosts = [self._own, *self._hosts()]
-            found = sorted(hosts, key=lambda host: rank(name, host), reverse=True)
+            found = sorted(hosts, key=lambda host: score(name, host), reverse=True)
             self._orders[slot] = found
         return found
--- a/sequoiaarch/tests/fleet/growth_tests.py
+++ b/sequoiaarch/tests/fleet/growth_tests.py
@@ -71,8 +71,8 @@
 
     def counted(self) -> mock.Mock:
         """Count the ranks from now on."""
-        counting = mock.Mock(wraps=ranking.rank)
-        patched = mock.patch.object(ranking, "rank", counting)
+        counting = mock.Mock(wraps=ranking.score)
+        patched = mock.patch.object(ranking, "score", counting)
         patched.start()
         self.addCleanup(patched.stop)
         return counting
@@ -101,7 +101,7 @@
         claimed = set(host.claiming._to_claim())
         for slot in range(SLOTS):
             name = slot_name(slot)
-            first = max(hosts, key=partial(ranking.rank, name))
+            first = max(hosts, key=partial(ranking.score, name))
             self.assertEqual(slot in claimed, first == OWN, slot)
 
     async def test_turn_ranks_nobody_twice(self) -> None:
