--- a/sequoiaarch/fleet/ranking.py
+++ b/sequoiaarch/fleet/ranking.py
@@ -15,7 +15,7 @@
     return xxhash.xxh32_intdigest(f"{name}/{host}".encode())
 
 
-def place_of(own: HostName, name: str, hosts: Iterable[HostName]) -> int:
+def rank_of(own: HostName, name: str, hosts: Iterable[HostName]) -> int:
     """Return how many hosts come before the own one for a name."""
     limit = score(name, own)
     return sum(score(name, host) > limit for host in hosts)
--- a/sequoiaarch/fleet/target_reports.py
+++ b/sequoiaarch/fleet/target_reports.py
@@ -8,7 +8,7 @@
 from ..policies.health import TargetHealth
 from ..wire.messages import Accepted, Reply, TargetReport
 from .peers import Peers
-from .ranking import place_of
+from .ranking import rank_of
 from .telling import Telling
 
 # A report is of use for about as long as requests keep failing. Seconds.
@@ -45,4 +45,4 @@
 
     def place(self, name: str) -> int:
         """Return this host's place among the neighbours for a name."""
-        return place_of(self._own, name, self._peers.near())
+        return rank_of(self._own, name, self._peers.near())
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from ...fleet.ranking import place_of
+from ...fleet.ranking import rank_of
 from ...ids import HostName, InstanceId
 from ...policies.engines import EngineChoice, NearestFree, PromptShape
 from ...policies.health import (
@@ -68,7 +68,7 @@
         """Make the hosts; each knows all of them, so that their places agree."""
         names = [HostName(f"h{number}") for number in range(self.hosts)]
         self.healths = [
-            TargetHealth(own=name, place=partial(place_of, name, hosts=names))
+            TargetHealth(own=name, place=partial(rank_of, name, hosts=names))
             for name in names
         ]
 
