--- a/sequoiaarch/fleet/target_reports.py
+++ b/sequoiaarch/fleet/target_reports.py
@@ -43,6 +43,6 @@
         self._health.told(report.instance, report.host, ok=report.ok, now=now)
         return Accepted()
 
-    def place(self, name: str) -> int:
+    def rank(self, name: str) -> int:
         """Return this host's place among the neighbours for a name."""
         return rank_of(self._own, name, self._peers.near())
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -296,7 +296,7 @@
 
     def _place(self, name: str) -> int:
         """Return this host's place among those of its data centre for a name."""
-        return self._fleet.reports.place(name) if self._fleet is not None else 0
+        return self._fleet.reports.rank(name) if self._fleet is not None else 0
 
     def _longest_retention(self) -> float:
         routes = self.dispatcher.routes
