--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -48,7 +48,7 @@
     def lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
         """Note that a delegate was lost with a turn open."""
 
-    def tell_end(
+    def report_end(
         self, link: Link, opening: OpeningId, lifetime: float, *, handed: int
     ) -> None:
         """Tell a delegate the end of a turn, without waiting for its reply."""
@@ -84,7 +84,7 @@
         self._ended = False
         # Whether the delegate knows that it holds the turn for nobody, or is being
         # told; the turn itself may go on here.
-        self._told_end = False
+        self._end_reported = False
         self._own: LocalTurn | None = None
         self._announced: asyncio.Future[Offset] | None = None
 
@@ -122,7 +122,7 @@
             return reply.verdict
         if not isinstance(reply, TurnVerdict):
             self._turns.lost(self._host, self._start.terms.turn, reply)
-        self._tell_end()
+        self._report_end()
         taken = await self._turns.take_over(self._start)
         if isinstance(taken, BudgetVerdict):
             return taken
@@ -177,7 +177,7 @@
         returned that or is known to be lost; the stream waits for it. Else it
         would be cut at once where little is left of the budget.
         """
-        self._tell_end()
+        self._report_end()
         terms = self._start.terms
         rest = terms.rest(max(1, terms.most - self._handed))
         start = msgspec.structs.replace(self._start, terms=rest)
@@ -226,14 +226,14 @@
         self._ended = True
         if self._own is not None:
             self._own.close()
-        self._tell_end()
+        self._report_end()
 
-    def _tell_end(self) -> None:
+    def _report_end(self) -> None:
         """Tell the delegate what was handed out under its grant, once."""
-        if self._told_end:
+        if self._end_reported:
             return
-        self._told_end = True
-        self._turns.tell_end(
+        self._end_reported = True
+        self._turns.report_end(
             self._link, self._opening, self._start.lifetime, handed=self._handed
         )
 
@@ -244,9 +244,9 @@
         )
         reply = await ask(self._link, request)
         if isinstance(reply, Accepted):
-            self._told_end = True
+            self._end_reported = True
             return
-        self._tell_end()
+        self._report_end()
         # It may have been written there too: the same record under the same key.
         self._turns.lost(self._host, self._start.terms.turn, reply)
         await self._turns.ledger.write(terms, content)
--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -126,7 +126,7 @@
             reply = await ask(link, OpenTurnRequest(opening=opening, start=start))
         except asyncio.CancelledError:
             # The caller left: what the delegate reserved must not count.
-            self.tell_end(link, opening, start.lifetime, handed=0)
+            self.report_end(link, opening, start.lifetime, handed=0)
             raise
         if isinstance(reply, TurnOpened):
             self._delegates.standing.served(host)
@@ -144,7 +144,7 @@
         # It may open the turn yet. What it then holds has no user: it would stand
         # in the way of this program until the turn's time is over, and count as
         # handed out from then on.
-        self.tell_end(link, opening, start.lifetime, handed=0)
+        self.report_end(link, opening, start.lifetime, handed=0)
         self._pass_over(host, start, reply)
         return None
 
@@ -159,7 +159,7 @@
             reason_of(reply),
         )
 
-    def tell_end(
+    def report_end(
         self, link: Link, opening: OpeningId, lifetime: float, *, handed: int
     ) -> None:
         """Tell a delegate the end of a turn, without waiting for its reply.
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -63,21 +63,21 @@
 
 def goes_on_untold() -> None:
     """Open a turn elsewhere without telling a delegate that is late."""
-    tell = DelegatedTurns.tell_end
+    report = DelegatedTurns.report_end
 
-    def tell_end(self: DelegatedTurns, *_: Any, **__: Any) -> None:
+    def report_end(self: DelegatedTurns, *_: Any, **__: Any) -> None:
         pass
 
-    def tell_own_end(self: DelegatedTurn) -> None:
-        if self._told_end:
+    def report_own_end(self: DelegatedTurn) -> None:
+        if self._end_reported:
             return
-        self._told_end = True
+        self._end_reported = True
         lifetime = self._start.lifetime
         assert isinstance(self._turns, DelegatedTurns)
-        tell(self._turns, self._link, self._opening, lifetime, handed=self._handed)
+        report(self._turns, self._link, self._opening, lifetime, handed=self._handed)
 
-    setattr(DelegatedTurns, "tell_end", tell_end)  # noqa: B010
-    setattr(DelegatedTurn, "_tell_end", tell_own_end)  # noqa: B010
+    setattr(DelegatedTurns, "report_end", report_end)  # noqa: B010
+    setattr(DelegatedTurn, "_report_end", report_own_end)  # noqa: B010
 
 
 def repeats_everything() -> None:
