--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -229,7 +229,7 @@
 
 
 class PeerServer:
-    """Answer peers: calls to the store, and what else `others` answers."""
+    """Answer peers: calls to the store, and what else `fallback` answers."""
 
     def __init__(
         self,
@@ -241,7 +241,7 @@
     ) -> None:
         self._caller = caller
         self._reaches_store = reaches_store
-        self.others: Handler = _answer_none
+        self.fallback: Handler = _answer_none
         self._responder = Responder(
             context=context, address=f"tcp://{address}", handler=self._answer
         )
@@ -261,7 +261,7 @@
 
     async def _answer(self, request: Request, send: Send) -> Reply:
         if not isinstance(request, StoreRequest):
-            return await self.others(request, send)
+            return await self.fallback(request, send)
         if not self._reaches_store():
             # The peer asks another one at once, not after a call in vain.
             return Failed(failure=unavailable(request.call, "not reached here either"))
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -70,7 +70,7 @@
         events=events,
         store_way=lambda: caller.way,
     )
-    server.others = daemon.answer_peer
+    server.fallback = daemon.answer_peer
     serving = asyncio.create_task(server.run())
     await daemon.run()
     serving.cancel()
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -126,7 +126,7 @@
         self.ledger = Ledger(log=client, writer=name, places=Places(per_topic=2))
         local = LocalTurns(ledger=self.ledger)
         self.turn_server = TurnServer(local=local, ledger=self.ledger)
-        self.server.others = self.turn_server.answer
+        self.server.fallback = self.turn_server.answer
         self.delegates = Delegates(own=self.name, peers=self.peers, standing=Standing())
         self.turns = DelegatedTurns(
             delegates=self.delegates,
@@ -175,7 +175,7 @@
 
     def answer_with(self, answer: Callable[[Request, Send], object]) -> None:
         """Have the delegate answer requests otherwise."""
-        self.delegate.server.others = answer  # type: ignore[assignment]
+        self.delegate.server.fallback = answer  # type: ignore[assignment]
 
     async def opened(self, process: Process, begun: TurnStart) -> OpenTurn:
         """Open a turn, which must fit."""
--- a/sequoiaarch/tests/fleet/joining_tests.py
+++ b/sequoiaarch/tests/fleet/joining_tests.py
@@ -45,7 +45,7 @@
         self.joining = Joining(
             own=self.name, writer=self.writer, peers=self.peers, tenure=self.tenure
         )
-        self.server.others = self.answer
+        self.server.fallback = self.answer
 
     async def answer(self, request: Request, send: Send) -> Reply:
         """Tell whether a host is seen."""
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/lenders_tests.py
@@ -129,7 +129,7 @@
             standing=self.standing,
         )
         self.turns = LocalTurns(ledger=self.ledger, lender=self.lenders)
-        self.server.others = self.answer
+        self.server.fallback = self.answer
 
     async def answer(self, request: Request, send: Send) -> Reply:
         """Answer a borrower."""
@@ -178,7 +178,7 @@
         # So many of the next settlements never arrive.
         self.settlements_lost = 0
         self.settlements = 0
-        process.server.others = self._answer
+        process.server.fallback = self._answer
 
     async def _answer(self, request: Request, send: Send) -> Reply:
         if isinstance(request, LendRequest):
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -75,7 +75,7 @@
             limiter=self.limiter,
             purse=Purse(clock=lambda: self.now),
         )
-        self.server.others = self.answer
+        self.server.fallback = self.answer
         self.asked = 0
 
     async def answer(self, request: Request, send: Send) -> Reply:
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -48,7 +48,7 @@
         self.reports = TargetReports(
             own=self.name, peers=self.peers, health=self.health
         )
-        self.server.others = self.answer
+        self.server.fallback = self.answer
         self.heard = 0
 
     async def answer(self, request: Request, send: Send) -> Reply:
