--- a/sequoiaarch/fleet/asking.py
+++ b/sequoiaarch/fleet/asking.py
@@ -13,7 +13,7 @@
     OpenTurnRequest,
     Reply,
 )
-from .turn_server import failed
+from .turn_server import failure_reply
 
 # A delegate says at once that it works on a request. One that does not within
 # this time is dead, frozen or overloaded; a turn takes about 0.25 s. Seconds.
@@ -33,14 +33,14 @@
 ) -> Reply:
     """Return the last reply, if the first one comes soon enough."""
     replies = link.stream(request)
-    last: Reply = failed("no reply")
+    last: Reply = failure_reply("no reply")
     try:
         async with asyncio.timeout(first_word) as limit:
             async for reply in replies:
                 last = reply
                 limit.reschedule(asyncio.get_running_loop().time() + LAST_WORD)
     except TimeoutError:
-        return failed("no reply in time")
+        return failure_reply("no reply in time")
     return last
 
 
--- a/sequoiaarch/fleet/joining.py
+++ b/sequoiaarch/fleet/joining.py
@@ -8,7 +8,7 @@
 from ..wire.messages import Accepted, Reply, SeenRequest
 from ..workspaces.tenure import Tenure
 from .peers import Peers
-from .turn_server import failed
+from .turn_server import failure_reply
 
 # Seconds.
 ASK_TIMEOUT = 0.5
@@ -44,7 +44,7 @@
         """Tell another host whether it is seen."""
         if self._peers.knows(request.host, request.writer):
             return Accepted()
-        return failed(f"{request.host} is not seen")
+        return failure_reply(f"{request.host} is not seen")
 
     async def _all_see(self) -> bool:
         """Return whether every host that was registered sees this one."""
--- a/sequoiaarch/fleet/lenders.py
+++ b/sequoiaarch/fleet/lenders.py
@@ -22,7 +22,7 @@
 from .slot_claimer import Claiming
 from .standing import Standing
 from .telling import RETRY_TIMEOUT, Telling
-from .turn_server import failed
+from .turn_server import failure_reply
 
 # A lender answers from memory. One that doesn't within this time is dead,
 # frozen or overloaded. Seconds.
@@ -158,7 +158,7 @@
         if isinstance(request, SettleRequest):
             self._book.settle(request.loan, request.program, request.handed)
             return Accepted()
-        return failed(f"not for this part: {request}")
+        return failure_reply(f"not for this part: {request}")
 
     def _next_loan(self) -> LoanId:
         return LoanId(f"{self._writer}/{next(self._numbers)}")
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -81,15 +81,15 @@
         if isinstance(request, CommitTurnRequest):
             await self._commit(request)
             return Accepted()
-        return failed(f"not for this part: {request}")
+        return failure_reply(f"not for this part: {request}")
 
     async def _begin(self, opening: OpeningId, start: TurnStart) -> Reply:
         if self.stopping:
-            return failed("stopping")
+            return failure_reply("stopping")
         # A process that stood still finds a beginning and its end together, in
         # either order.
         if opening in self._ended_unopened:
-            return failed(CALLER_LEFT)
+            return failure_reply(CALLER_LEFT)
         opened = await self._local.open(start)
         if isinstance(opened, Lookup):
             return TurnRefused(lookup=opened)
@@ -97,7 +97,7 @@
             return TurnRefused(verdict=opened)
         if opening in self._ended_unopened:
             opened.close()
-            return failed(CALLER_LEFT)
+            return failure_reply(CALLER_LEFT)
         self._open[opening] = opened
         loop = asyncio.get_running_loop()
         loop.call_later(start.lifetime, self._expire, opening, start.terms)
@@ -111,20 +111,20 @@
     async def _confirm(self, opening: OpeningId) -> Reply:
         opened = self._open.get(opening)
         if opened is None:
-            return failed(NOT_OPEN)
+            return failure_reply(NOT_OPEN)
         verdict = await opened.verdict()
         return TurnVerdict(verdict=verdict, covered=opened.covered)
 
     async def _cover(self, request: CoverTurnRequest) -> Reply:
         opened = self._open.get(request.opening)
         if opened is None:
-            return failed(NOT_OPEN)
+            return failure_reply(NOT_OPEN)
         opened.hand_out_total(request.handed)
         if not await opened.cover_total(request.total):
             return TurnRefused(verdict=BudgetVerdict.EXCEEDED)
         if request.opening not in self._open:
             # It ended meanwhile, and what covered it may be granted to others.
-            return failed(NOT_OPEN)
+            return failure_reply(NOT_OPEN)
         return TurnCovered(covered=opened.covered)
 
     async def _commit(self, request: CommitTurnRequest) -> None:
@@ -169,6 +169,6 @@
         self._close(opening, tokens)
 
 
-def failed(reason: str) -> Failed:
+def failure_reply(reason: str) -> Failed:
     """Return the reply to a request that was not carried out."""
     return Failed(failure=Failure(kind=ErrorKind.INTERRUPTED, reason=reason))
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -14,7 +14,7 @@
 
 from ..fleet.fleet import Fleet, Limits
 from ..fleet.peers import Peers
-from ..fleet.turn_server import failed
+from ..fleet.turn_server import failure_reply
 from ..http1.messages import RequestMessage
 from ..http1.server import Server
 from ..http1.server_link import Reply, ServerLimits
@@ -291,7 +291,7 @@
     async def answer_peer(self, request: Request, send: Send) -> PeerReply:
         """Answer another daemon."""
         if self._fleet is None:
-            return failed("this process has no peers")
+            return failure_reply("this process has no peers")
         return await self._fleet.answer(request, send)
 
     def _place(self, name: str) -> int:
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -17,7 +17,7 @@
 from ...fleet.delegates import DelegatedTurns, Delegates
 from ...fleet.peers import PeerRecord, Peers, PeerServer
 from ...fleet.standing import Standing
-from ...fleet.turn_server import TurnServer, failed
+from ...fleet.turn_server import TurnServer, failure_reply
 from ...ids import (
     DataCentre,
     HostName,
@@ -478,7 +478,7 @@
         turn.hand_out(30)
 
         async def forgotten(request: Request, send: Send) -> Reply:
-            return failed("not open here")
+            return failure_reply("not open here")
 
         self.answer_with(forgotten)
         with mock.patch.object(budgets_module, "RETURN_BOUND", 0.5):
