--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -158,7 +158,9 @@
         """Return how many turns of other gateways are open here."""
         return self._server.open_turns
 
-    def parts(self, retention: Callable[[], float]) -> list[Coroutine[Any, Any, None]]:
+    def background_tasks(
+        self, retention: Callable[[], float]
+    ) -> list[Coroutine[Any, Any, None]]:
         """Return what runs for ever; `retention` is the longest one of turns."""
         return [
             *(one.follow() for one in self._followers),
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -189,7 +189,7 @@
         if events is not None:
             self._parts.append(events.run())
         if self._fleet is not None:
-            self._parts += self._fleet.parts(self._longest_retention)
+            self._parts += self._fleet.background_tasks(self._longest_retention)
         self._stopping = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
