--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -49,7 +49,7 @@
 CLAIMS_WAIT = 10.0
 
 
-class Limits(msgspec.Struct, frozen=True, kw_only=True):
+class QuotaOptions(msgspec.Struct, frozen=True, kw_only=True):
     """Say what workspaces are held to.
 
     A process keeps shares of limits by a view of the fleet that is at most `lease`
@@ -75,7 +75,7 @@
         ledger: Ledger,
         split: BudgetSplit,
         health: TargetHealth,
-        limits: Limits,
+        limits: QuotaOptions,
     ) -> None:
         self._own = own
         self._writer = writer
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -12,7 +12,7 @@
 
 import logbook
 
-from ..fleet.fleet import Fleet, Limits
+from ..fleet.fleet import Fleet, QuotaOptions
 from ..fleet.peers import Peers
 from ..fleet.turn_server import failure_reply
 from ..http1.messages import RequestMessage
@@ -136,7 +136,7 @@
                 ledger=self.ledger,
                 split=split,
                 health=health,
-                limits=Limits(
+                limits=QuotaOptions(
                     of=access.limit_of,
                     bounds=bounds,
                     lease=options.key_age_limit or DEFAULT_LEASE,
