--- a/sequoiaarch/fleet/target_reports.py
+++ b/sequoiaarch/fleet/target_reports.py
@@ -29,7 +29,7 @@
         self._health = health
         self._telling = Telling(timeout=REPORT_TIMEOUT)
 
-    def tell(self, instance: InstanceId, ok: bool) -> None:
+    def broadcast(self, instance: InstanceId, ok: bool) -> None:
         """Tell the neighbours that a target failed or serves again."""
         report = TargetReport(instance=instance, host=self._own, ok=ok)
         for host in self._peers.near():
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -145,7 +145,7 @@
             )
             quotas = self._fleet.quotas
             turns = self._fleet.turns
-            self.dispatcher.load.report = self._fleet.reports.tell
+            self.dispatcher.load.report = self._fleet.reports.broadcast
         handler = RequestHandler(
             dispatcher=self.dispatcher,
             ledger=self.ledger,
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -61,7 +61,7 @@
         """Have a request to the target fail here."""
         now = asyncio.get_running_loop().time()
         if self.health.failed(TARGET, now):
-            self.reports.tell(TARGET, False)
+            self.reports.broadcast(TARGET, False)
 
     def passes_over(self) -> bool:
         """Return whether requests avoid the target here."""
@@ -136,7 +136,7 @@
         caught = self.hosts["a"]
         later = asyncio.get_running_loop().time() + 60
         self.assertTrue(caught.health.served(TARGET, later))
-        caught.reports.tell(TARGET, True)
+        caught.reports.broadcast(TARGET, True)
         await self.until_heard("c", 3)
         self.assertFalse(self.hosts["c"].passes_over())
         self.assertFalse(caught.health.served(TARGET, later + 1))
