--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -132,7 +132,7 @@
     )
 
     async def ask_peers() -> list[ConfigSnapshot]:
-        known = list(membership.peers().values())
+        known = list(membership.sidecar_addresses().values())
         addresses = [*settings.peers, *known][:PEERS_ASKED]
         asked = [
             links.to(address).call(ConfigRequest(), timeout=PEER_TIMEOUT)
@@ -158,7 +158,7 @@
         shards=settings.shards,
         local=local,
         links=links,
-        peers=membership.peers,
+        peers=membership.sidecar_addresses,
         me=me,
     )
     return Core(
--- a/sequoiaarch/gateway/operators.py
+++ b/sequoiaarch/gateway/operators.py
@@ -263,7 +263,7 @@
         return found
 
     async def _ask_all(self, request: ExplainRequest | TraceRequest) -> list[Any]:
-        addresses = self._core.membership.peers().values()
+        addresses = self._core.membership.sidecar_addresses().values()
         asked = [
             self._core.links.to(address).call(request, timeout=PEER_TIMEOUT)
             for address in addresses
--- a/sequoiaarch/membership/view.py
+++ b/sequoiaarch/membership/view.py
@@ -51,7 +51,7 @@
         self._probes: dict[TargetName, asyncio.Task[None]] = {}
         self._reported: dict[TargetName, float] = {}
 
-    def peers(self) -> dict[TargetName, str]:
+    def sidecar_addresses(self) -> dict[TargetName, str]:
         """Return the address of every sidecar that should answer."""
         return {
             TargetName(target.name): target.spec.address
