--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -93,7 +93,7 @@
             standing=standing,
             seen_from=self._seen_from,
         )
-        self._lenders = Lenders(
+        self._loan_service = Lenders(
             writer=writer,
             own=own,
             peers=peers,
@@ -102,7 +102,7 @@
             claiming=self._claiming,
             standing=standing,
         )
-        local = LocalTurns(ledger=ledger, lender=self._lenders)
+        local = LocalTurns(ledger=ledger, lender=self._loan_service)
         self._server = TurnServer(local=local, ledger=ledger)
         self.turns = DelegatedTurns(
             delegates=Delegates(own=own, peers=peers, standing=standing),
@@ -172,7 +172,7 @@
     async def answer(self, request: Request, send: Send) -> Reply:
         """Answer another gateway."""
         if isinstance(request, LendRequest | SettleRequest):
-            return self._lenders.answer(request)
+            return self._loan_service.answer(request)
         if isinstance(request, TargetReport):
             return self.reports.take(request)
         if isinstance(request, TakeTokens):
--- a/sequoiaarch/tests/platform/outage_tests.py
+++ b/sequoiaarch/tests/platform/outage_tests.py
@@ -57,7 +57,7 @@
         fleet = daemon._fleet
         assert fleet is not None
         async with asyncio.timeout(10.0):
-            while not fleet._lenders._claims.lenders_of(0):
+            while not fleet._loan_service._claims.lenders_of(0):
                 await asyncio.sleep(0.01)
         return daemon
 
