--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -46,7 +46,7 @@
     tokens: dict[ProgramId, int]
 
 
-FleetRecord = ClaimRecord | CarriedRecord
+LenderRecord = ClaimRecord | CarriedRecord
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Lending:
+class SlotLender:
     """Name a lender of a slot; each place has a part of the budget of its own."""
 
     writer: WriterId
@@ -90,7 +90,7 @@
         self._claims: dict[str, Claim] = {}
         self._carried: dict[str, CarriedRecord] = {}
         # The lenders of each slot; made anew after a change.
-        self._lenders: dict[int, list[Lending]] | None = None
+        self._lenders: dict[int, list[SlotLender]] | None = None
 
     def replace(self, records: Sequence[ListedRecord]) -> None:
         """Take over the complete list."""
@@ -108,7 +108,7 @@
         if not record.value:
             return
         try:
-            found: FleetRecord = msgspec.json.decode(record.value, type=FleetRecord)
+            found: LenderRecord = msgspec.json.decode(record.value, type=LenderRecord)
         except msgspec.DecodeError as error:
             log.warning("claim {} can't be read: {}", record.key, error)
             return
@@ -137,20 +137,20 @@
         """Return all claims in the order of the log."""
         return sorted(self._claims.values(), key=lambda one: one.offset)
 
-    def lenders_of(self, slot: int) -> list[Lending]:
+    def lenders_of(self, slot: int) -> list[SlotLender]:
         """Return the lenders of a slot, the first one first."""
         if self._lenders is None:
             self._lenders = self._by_slot()
         return self._lenders.get(slot, [])
 
-    def _by_slot(self) -> dict[int, list[Lending]]:
+    def _by_slot(self) -> dict[int, list[SlotLender]]:
         """Return the lenders of each slot, which loans ask for far more often."""
-        found: dict[int, list[Lending]] = {}
+        found: dict[int, list[SlotLender]] = {}
         for claim in self.all():
             for slot in set(claim.record.slots):
                 lenders = found.setdefault(slot, [])
-                lending = Lending(writer=claim.record.writer, rank=len(lenders))
-                lenders.append(lending)
+                lender = SlotLender(writer=claim.record.writer, rank=len(lenders))
+                lenders.append(lender)
         return found
 
     def unclaimed(self, live: Callable[[WriterId], bool]) -> list[int]:
--- a/sequoiaarch/fleet/asking.py
+++ b/sequoiaarch/fleet/delegate_calls.py
@@ -17,33 +17,33 @@
 
 # A delegate says at once that it works on a request. One that does not within
 # this time is dead, frozen or overloaded; a turn takes about 0.25 s. Seconds.
-FIRST_WORD = 0.1
+FIRST_REPLY_TIMEOUT = 0.1
 # What follows waits for the store, which may be slow. Seconds.
-LAST_WORD = 1.5
+NEXT_REPLY_TIMEOUT = 1.5
 
 
-async def ask(
+async def call_delegate(
     link: Link,
     request: OpenTurnRequest
     | ConfirmTurnRequest
     | CoverTurnRequest
     | CommitTurnRequest,
     *,
-    first_word: float = FIRST_WORD,
+    first_reply_timeout: float = FIRST_REPLY_TIMEOUT,
 ) -> Reply:
     """Return the last reply, if the first one comes soon enough."""
     replies = link.stream(request)
     last: Reply = failure_reply("no reply")
     try:
-        async with asyncio.timeout(first_word) as limit:
+        async with asyncio.timeout(first_reply_timeout) as limit:
             async for reply in replies:
                 last = reply
-                limit.reschedule(asyncio.get_running_loop().time() + LAST_WORD)
+                limit.reschedule(asyncio.get_running_loop().time() + NEXT_REPLY_TIMEOUT)
     except TimeoutError:
         return failure_reply("no reply in time")
     return last
 
 
-def reason_of(reply: Reply) -> str:
+def failure_reason(reply: Reply) -> str:
     """Return why a request was not carried out."""
     return reply.failure.reason if isinstance(reply, Failed) else str(reply)
--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -28,24 +28,24 @@
     TurnRefused,
     TurnVerdict,
 )
-from .asking import ask
+from .delegate_calls import call_delegate
 
 # A stream bears a longer pause than its beginning, and what a delegate has granted
 # is lost with it. Seconds.
-COVER_FIRST_WORD = 0.4
+COVER_FIRST_REPLY_TIMEOUT = 0.4
 
 
-class Opener(Protocol):
+class TurnManager(Protocol):
     """Open turns through delegates, and go on here where one is lost."""
 
     @property
     def ledger(self) -> Ledger:
         """Return the ledger of this process."""
 
-    async def take_over(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
+    async def reserve_locally(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
         """Reserve a turn here whose delegate was lost; its history is known."""
 
-    def lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
+    def delegate_lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
         """Note that a delegate was lost with a turn open."""
 
     def report_end(
@@ -71,7 +71,7 @@
         opened: TurnOpened,
         host: HostName,
         link: Link,
-        turns: Opener,
+        turns: TurnManager,
     ) -> None:
         self._opening = opening
         self._start = start
@@ -85,7 +85,7 @@
         # Whether the delegate knows that it holds the turn for nobody, or is being
         # told; the turn itself may go on here.
         self._end_reported = False
-        self._own: LocalTurn | None = None
+        self._fallback: LocalTurn | None = None
         self._announced: asyncio.Future[Offset] | None = None
 
     @property
@@ -101,19 +101,19 @@
     @property
     def where(self) -> str:
         """Return which process keeps the account, for the log."""
-        if self._own is not None:
-            return f"{self._own.where} after all"
+        if self._fallback is not None:
+            return f"{self._fallback.where} after all"
         part = "" if self._covered is None else f", {self._covered} held"
         return f"at {self._host}{part}"
 
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn is granted."""
-        if self._own is not None:
-            return await self._own.verdict()
+        if self._fallback is not None:
+            return await self._fallback.verdict()
         if self._opened.granted:
             return BudgetVerdict.FITS
         request = ConfirmTurnRequest(opening=self._opening)
-        reply = await ask(self._link, request)
+        reply = await call_delegate(self._link, request)
         if (
             isinstance(reply, TurnVerdict)
             and reply.verdict is not BudgetVerdict.UNCERTAIN
@@ -121,13 +121,13 @@
             self._covered = reply.covered
             return reply.verdict
         if not isinstance(reply, TurnVerdict):
-            self._turns.lost(self._host, self._start.terms.turn, reply)
+            self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
         self._report_end()
-        taken = await self._turns.take_over(self._start)
-        if isinstance(taken, BudgetVerdict):
-            return taken
-        self._own = taken
-        return await taken.verdict()
+        fallback = await self._turns.reserve_locally(self._start)
+        if isinstance(fallback, BudgetVerdict):
+            return fallback
+        self._fallback = fallback
+        return await fallback.verdict()
 
     def announce(self) -> None:
         """Write the program of the turn beside its run."""
@@ -135,30 +135,32 @@
 
     def covers(self, tokens: int) -> bool:
         """Return whether so many more tokens may go to the caller unasked."""
-        if self._own is not None:
-            return self._own.covers(tokens)
+        if self._fallback is not None:
+            return self._fallback.covers(tokens)
         return self._covered is None or self._handed + tokens <= self._covered
 
     async def cover(self, tokens: int) -> bool:
         """Ask for so many more tokens; return whether they may go to the caller."""
-        if self._own is not None:
-            return await self._own.cover(tokens)
+        if self._fallback is not None:
+            return await self._fallback.cover(tokens)
         if self.covers(tokens):
             return True
-        covered = await self._cover_there(tokens)
+        covered = await self._cover_at_delegate(tokens)
         if covered is not None:
             return covered
-        taken = await self._go_on_here()
-        return taken is not None and await taken.cover(tokens)
+        fallback = await self._fall_back()
+        return fallback is not None and await fallback.cover(tokens)
 
-    async def _cover_there(self, tokens: int) -> bool | None:
+    async def _cover_at_delegate(self, tokens: int) -> bool | None:
         """Ask the delegate for more; None where it is lost."""
         request = CoverTurnRequest(
             opening=self._opening,
             total=self._handed + tokens,
             handed=self._handed,
         )
-        reply = await ask(self._link, request, first_word=COVER_FIRST_WORD)
+        reply = await call_delegate(
+            self._link, request, first_reply_timeout=COVER_FIRST_REPLY_TIMEOUT
+        )
         if isinstance(reply, TurnCovered):
             self._covered = reply.covered
             return True
@@ -166,10 +168,10 @@
         # a delegate that is well would be passed over, and a rest reserved for nobody.
         if self._ended or isinstance(reply, TurnRefused):
             return False
-        self._turns.lost(self._host, self._start.terms.turn, reply)
+        self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
         return None
 
-    async def _go_on_here(self) -> LocalTurn | None:
+    async def _fall_back(self) -> LocalTurn | None:
         """Reserve the rest of the turn here, as its delegate was lost midway.
 
         A delegate that only was slow hears what was handed out under its grant.
@@ -179,34 +181,34 @@
         """
         self._report_end()
         terms = self._start.terms
-        rest = terms.rest(max(1, terms.most - self._handed))
-        start = msgspec.structs.replace(self._start, terms=rest)
+        remaining = terms.rest(max(1, terms.most - self._handed))
+        start = msgspec.structs.replace(self._start, terms=remaining)
         deadline = asyncio.get_running_loop().time() + CALLER_PATIENCE
         while not self._ended and asyncio.get_running_loop().time() < deadline:
-            taken = await self._turns.take_over(start)
-            if isinstance(taken, LocalTurn) and await self._accept(taken):
-                self._own = taken
-                return taken
+            fallback = await self._turns.reserve_locally(start)
+            if isinstance(fallback, LocalTurn) and await self._accept(fallback):
+                self._fallback = fallback
+                return fallback
             await asyncio.sleep(COVER_RETRY)
         return None
 
-    async def _accept(self, taken: LocalTurn) -> bool:
+    async def _accept(self, fallback: LocalTurn) -> bool:
         """Return whether the turn can go on with what was taken, or give it back."""
         accepted = False
         try:
-            fits = await taken.verdict() is BudgetVerdict.FITS
+            fits = await fallback.verdict() is BudgetVerdict.FITS
             accepted = fits and not self._ended
         finally:
             # The end of the turn closes only what is in use. Left open by a caller that
             # leaves, this would be missing from the budget for good.
             if not accepted:
-                taken.close()
+                fallback.close()
         return accepted
 
     def hand_out(self, tokens: int) -> None:
         """Count tokens that go to the caller."""
-        if self._own is not None:
-            self._own.hand_out(tokens)
+        if self._fallback is not None:
+            self._fallback.hand_out(tokens)
         else:
             self._handed += tokens
 
@@ -214,18 +216,18 @@
         """Make the turn part of the history; return once that is durable."""
         self._ended = True
         content = content_of(self._start, self.history, given, produced)
-        if self._own is not None:
-            await self._own.commit_for(content)
+        if self._fallback is not None:
+            await self._fallback.commit_for(content)
         else:
-            await self._commit_there(content)
+            await self._commit_at_delegate(content)
         if self._announced is not None:
             await self._announced
 
     def close(self) -> None:
         """Return what the turn did not use; a second time does nothing."""
         self._ended = True
-        if self._own is not None:
-            self._own.close()
+        if self._fallback is not None:
+            self._fallback.close()
         self._report_end()
 
     def _report_end(self) -> None:
@@ -237,16 +239,16 @@
             self._link, self._opening, self._start.lifetime, handed=self._handed
         )
 
-    async def _commit_there(self, content: TurnContent) -> None:
+    async def _commit_at_delegate(self, content: TurnContent) -> None:
         terms = self._start.terms
         request = CommitTurnRequest(
             opening=self._opening, terms=terms, handed=self._handed, content=content
         )
-        reply = await ask(self._link, request)
+        reply = await call_delegate(self._link, request)
         if isinstance(reply, Accepted):
             self._end_reported = True
             return
         self._report_end()
         # It may have been written there too: the same record under the same key.
-        self._turns.lost(self._host, self._start.terms.turn, reply)
+        self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
         await self._turns.ledger.write(terms, content)
--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -24,23 +24,23 @@
     TurnOpened,
     TurnRefused,
 )
-from .asking import ask, reason_of
 from .claims import slot_of
+from .delegate_calls import call_delegate, failure_reason
 from .delegated_turn import DelegatedTurn
+from .notifier import RETRY_TIMEOUT, Notifier
+from .peer_health import PeerHealth
 from .peers import Peers
 from .ranking import SlotRanking
-from .standing import Standing
-from .telling import RETRY_TIMEOUT, Telling
 
 log = logbook.Logger("delegates")
 
 # A delegate that hears that a turn goes on elsewhere returns what it holds for it
 # with one append. Seconds.
-RETURN_WAIT = 0.4
-RETURN_CHECK = 0.1
+HELD_RETRY_PERIOD = 0.4
+HELD_RETRY_INTERVAL = 0.1
 
 
-class Delegates:
+class DelegateSelector:
     """Choose the process that keeps a program's account, by rendezvous.
 
     The turns of a program come through all gateways of a data centre. Each
@@ -52,21 +52,21 @@
     or none, cost calls and nothing else.
     """
 
-    def __init__(self, *, own: HostName, peers: Peers, standing: Standing) -> None:
+    def __init__(self, *, own: HostName, peers: Peers, peer_health: PeerHealth) -> None:
         self._own = own
         self._peers = peers
-        self.standing = standing
+        self.peer_health = peer_health
         self._ranking = SlotRanking(
-            own=own, hosts=peers.near, version=lambda: peers.version
+            own=own, hosts=peers.neighbours, version=lambda: peers.version
         )
 
-    def of(self, program: ProgramId) -> HostName | None:
+    def delegate_of(self, program: ProgramId) -> HostName | None:
         """Return the delegate of a program; None for this process."""
         # By slots like lenders: in one data centre of three the two are the same.
-        for host in self._ranking.order(slot_of(program)):
+        for host in self._ranking.hosts_for(slot_of(program)):
             if host == self._own:
                 return None
-            if self.standing.usable(host):
+            if self.peer_health.available(host):
                 return host
         return None
 
@@ -81,19 +81,19 @@
     def __init__(
         self,
         *,
-        delegates: Delegates,
+        delegates: DelegateSelector,
         local: LocalTurns,
         ledger: Ledger,
     ) -> None:
         self._delegates = delegates
         self._local = local
         self._ledger = ledger
-        self._telling = Telling(timeout=RETRY_TIMEOUT)
+        self._notifier = Notifier(timeout=RETRY_TIMEOUT)
         self._numbers = itertools.count(1)
 
     async def open(self, start: TurnStart) -> OpenTurn | TurnRefusal:
         """Reserve a turn and find its history, or say why not."""
-        host = self._delegates.of(start.terms.program)
+        host = self._delegates.delegate_of(start.terms.program)
         if host is not None:
             opened = await self._open_at(host, start)
             return await self._open_here(start) if opened is None else opened
@@ -106,13 +106,13 @@
         hears of the end. Through a delegate that stays slow each try of a caller
         would be refused for what its own try holds.
         """
-        deadline = asyncio.get_running_loop().time() + RETURN_WAIT
+        deadline = asyncio.get_running_loop().time() + HELD_RETRY_PERIOD
         while True:
             opened = await self._local.open(start)
             expired = asyncio.get_running_loop().time() >= deadline
             if opened is not BudgetVerdict.HELD or expired:
                 return opened
-            await asyncio.sleep(RETURN_CHECK)
+            await asyncio.sleep(HELD_RETRY_INTERVAL)
 
     async def _open_at(
         self, host: HostName, start: TurnStart
@@ -123,13 +123,15 @@
             return None
         opening = self._next_opening()
         try:
-            reply = await ask(link, OpenTurnRequest(opening=opening, start=start))
+            reply = await call_delegate(
+                link, OpenTurnRequest(opening=opening, start=start)
+            )
         except asyncio.CancelledError:
             # The caller left: what the delegate reserved must not count.
             self.report_end(link, opening, start.lifetime, handed=0)
             raise
         if isinstance(reply, TurnOpened):
-            self._delegates.standing.served(host)
+            self._delegates.peer_health.record_success(host)
             return DelegatedTurn(
                 opening=opening,
                 start=start,
@@ -139,24 +141,26 @@
                 turns=self,
             )
         if isinstance(reply, TurnRefused):
-            self._delegates.standing.served(host)
-            return _sure_refusal(reply)
+            self._delegates.peer_health.record_success(host)
+            return _definite_refusal(reply)
         # It may open the turn yet. What it then holds has no user: it would stand
         # in the way of this program until the turn's time is over, and count as
         # handed out from then on.
         self.report_end(link, opening, start.lifetime, handed=0)
-        self._pass_over(host, start, reply)
+        self._record_open_failure(host, start, reply)
         return None
 
-    def _pass_over(self, host: HostName, start: TurnStart, reply: Reply) -> None:
+    def _record_open_failure(
+        self, host: HostName, start: TurnStart, reply: Reply
+    ) -> None:
         """Note that a delegate did not open a turn."""
-        self._delegates.standing.failed(host, reason_of(reply))
+        self._delegates.peer_health.record_failure(host, failure_reason(reply))
         log.info(
             "turn {} of {} goes on here, as {} did not open it: {}",
             start.terms.turn,
             start.terms.program,
             host,
-            reason_of(reply),
+            failure_reason(reply),
         )
 
     def report_end(
@@ -168,7 +172,7 @@
         worth a retry.
         """
         request = CloseTurnRequest(opening=opening, handed=handed)
-        self._telling.tell(link, request, patience=lifetime)
+        self._notifier.notify(link, request, retry_for=lifetime)
 
     def _next_opening(self) -> OpeningId:
         """Return a name that nobody uses again.
@@ -178,14 +182,14 @@
         """
         return OpeningId(f"{self._ledger.writer}/{next(self._numbers)}")
 
-    async def take_over(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
+    async def reserve_locally(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
         """Reserve a turn here whose delegate was lost; its history is known."""
         return await self._local.take(start, None)
 
-    def lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
+    def delegate_lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
         """Note that a delegate was lost with a turn open."""
-        log.info("turn {} is lost at {}: {}", turn, host, reason_of(reply))
-        self._delegates.standing.failed(host, reason_of(reply))
+        log.info("turn {} is lost at {}: {}", turn, host, failure_reason(reply))
+        self._delegates.peer_health.record_failure(host, failure_reason(reply))
 
     @property
     def ledger(self) -> Ledger:
@@ -193,7 +197,7 @@
         return self._ledger
 
 
-def _sure_refusal(reply: TurnRefused) -> TurnRefusal | None:
+def _definite_refusal(reply: TurnRefused) -> TurnRefusal | None:
     """Return why a delegate refused a turn; None where it can't tell."""
     # What it can't tell, this process may reach the store for.
     if reply.lookup is Lookup.ABSENT:
--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -33,20 +33,20 @@
 from ..workspaces.spans import QuotaBounds
 from ..workspaces.tenure import Tenure
 from .claims import TOPIC as CLAIMS_TOPIC, Claims
-from .delegates import DelegatedTurns, Delegates
-from .joining import Joining
-from .lenders import Lenders
+from .delegates import DelegatedTurns, DelegateSelector
+from .loan_service import LoanService
+from .peer_health import PeerHealth
 from .peers import TOPIC as PEERS_TOPIC, Peers
 from .quotas import FleetQuotas
-from .slot_claimer import Claiming
-from .standing import Standing
+from .registration_check import RegistrationCheck
+from .slot_claimer import SlotClaimer
 from .target_reports import TargetReports
 from .turn_server import TurnServer
 
 # Claims change when processes start and stop. A connection that has fallen silent
 # hides a change for this long, which costs a request to a lender that has left.
 # Seconds.
-CLAIMS_WAIT = 10.0
+CLAIMS_READ_WAIT = 10.0
 
 
 class QuotaOptions(msgspec.Struct, frozen=True, kw_only=True):
@@ -82,30 +82,30 @@
         self._peers = peers
         self._log = keyed_log
         claims = Claims()
-        standing = Standing()
+        peer_health = PeerHealth()
         self.loans = LoanBook(split=split, carried=claims.carried)
-        self._claiming = Claiming(
+        self._claimer = SlotClaimer(
             writer=writer,
             own=own,
             peers=peers,
             book=self.loans,
             claims=claims,
-            standing=standing,
+            peer_health=peer_health,
             seen_from=self._seen_from,
         )
-        self._loan_service = Lenders(
+        self._loan_service = LoanService(
             writer=writer,
             own=own,
             peers=peers,
             book=self.loans,
             claims=claims,
-            claiming=self._claiming,
-            standing=standing,
+            claimer=self._claimer,
+            peer_health=peer_health,
         )
         local = LocalTurns(ledger=ledger, lender=self._loan_service)
         self._server = TurnServer(local=local, ledger=ledger)
         self.turns = DelegatedTurns(
-            delegates=Delegates(own=own, peers=peers, standing=standing),
+            delegates=DelegateSelector(own=own, peers=peers, peer_health=peer_health),
             local=local,
             ledger=ledger,
         )
@@ -119,16 +119,18 @@
             wait=limits.wait,
             viewed=self.tenure.viewed,
         )
-        self._joining = Joining(own=own, writer=writer, peers=peers, tenure=self.tenure)
-        peers.own_changed = self._own_changed
-        self._hosts_seen = peers.hosts_version
+        self._registration_check = RegistrationCheck(
+            own=own, writer=writer, peers=peers, tenure=self.tenure
+        )
+        peers.on_own_registration = self._on_own_registration
+        self._hosts_version_seen = peers.hosts_version
         self._keepers = Keepers(
-            hosts=peers.by_centre, version=lambda: peers.hosts_version
+            hosts=peers.hosts_by_centre, version=lambda: peers.hosts_version
         )
         self.limiter = Limiter(
             bounds=limits.bounds,
             limits=limits.of,
-            keeps=self._keeps,
+            keeps=self._keeps_share,
             term=lambda: self.tenure.term,
             since=lambda: self.tenure.since,
             clock=boot_time,
@@ -137,7 +139,7 @@
         self.quotas = FleetQuotas(
             own=own,
             peers=peers,
-            standing=standing,
+            peer_health=peer_health,
             keepers=self._keepers,
             limiter=self.limiter,
             purse=Purse(clock=boot_time),
@@ -149,7 +151,7 @@
                 topic=CLAIMS_TOPIC,
                 replace=claims.replace,
                 change=claims.change,
-                wait=CLAIMS_WAIT,
+                wait=CLAIMS_READ_WAIT,
             ),
         ]
 
@@ -163,10 +165,10 @@
     ) -> list[Coroutine[Any, Any, None]]:
         """Return what runs for ever; `retention` is the longest one of turns."""
         return [
-            *(one.follow() for one in self._followers),
+            *(follower.follow() for follower in self._followers),
             self._peers.register(self._log, self._writer),
-            self._claiming.run(self._log, retention),
-            self._joining.run(),
+            self._claimer.run(self._log, retention),
+            self._registration_check.run(),
         ]
 
     async def answer(self, request: Request, send: Send) -> Reply:
@@ -174,11 +176,11 @@
         if isinstance(request, LendRequest | SettleRequest):
             return self._loan_service.answer(request)
         if isinstance(request, TargetReport):
-            return self.reports.take(request)
+            return self.reports.receive(request)
         if isinstance(request, TakeTokens):
             return self.quotas.answer(request)
         if isinstance(request, SeenRequest):
-            return self._joining.answer(request)
+            return self._registration_check.answer(request)
         return await self._server.answer(request, send)
 
     def refuse_new(self) -> None:
@@ -187,13 +189,13 @@
 
     async def leave(self) -> None:
         """Take back claims and registration."""
-        await self._claiming.stop(self._log)
+        await self._claimer.stop(self._log)
         self.tenure.cease()
         await self._peers.unregister(self._log, self._writer)
 
     def _seen_from(self) -> float:
         """Return since when claims and registrations are known, in boot time."""
-        return min(one.seen_from for one in self._followers)
+        return min(follower.seen_from for follower in self._followers)
 
     def _replace_peers(self, records: Sequence[KeyedRecord]) -> None:
         self._peers.replace(records)
@@ -204,19 +206,19 @@
         self._hosts_changed()
 
     def _hosts_changed(self) -> None:
-        if self._hosts_seen == self._peers.hosts_version:
+        if self._hosts_version_seen == self._peers.hosts_version:
             return
-        self._hosts_seen = self._peers.hosts_version
+        self._hosts_version_seen = self._peers.hosts_version
         self.tenure.hosts_changed()
         self.limiter.drop_lost()
 
-    def _own_changed(self, writer: WriterId | None, ordered: bool) -> None:
+    def _on_own_registration(self, writer: WriterId | None, ordered: bool) -> None:
         if writer is None:
             self.tenure.unregistered()
         else:
             self.tenure.registered(own=writer == self._writer, ordered=ordered)
 
-    def _keeps(self, workspace: Workspace, share: int) -> bool:
+    def _keeps_share(self, workspace: Workspace, share: int) -> bool:
         """Return whether a share of a workspace's limit is kept here."""
         keepers = self._keepers.of(workspace)
         ranked = share < len(keepers) and keepers[share] == self._own
--- a/sequoiaarch/fleet/lenders.py
+++ b/sequoiaarch/fleet/loan_service.py
@@ -18,10 +18,10 @@
     SettleRequest,
 )
 from .claims import Claims, slot_of
+from .notifier import RETRY_TIMEOUT, Notifier
+from .peer_health import PeerHealth
 from .peers import Peers
-from .slot_claimer import Claiming
-from .standing import Standing
-from .telling import RETRY_TIMEOUT, Telling
+from .slot_claimer import SlotClaimer
 from .turn_server import failure_reply
 
 # A lender answers from memory. One that doesn't within this time is dead,
@@ -30,16 +30,16 @@
 # A lender that does not hear of the end of a loan counts it in full for as long as
 # its program may come back; one that is frozen or cut off for a while hears it in
 # this time. Seconds.
-SETTLE_PATIENCE = 30.0
+SETTLE_RETRY_PERIOD = 30.0
 # Lenders of a program that are asked; those after the second have too little.
-MOST_ASKED = 2
+MAX_LENDERS_ASKED = 2
 
 
 class Loan:
     """Hold tokens that a lender covers a turn with."""
 
     def __init__(
-        self, *, loan: LoanId, terms: TurnTerms, tokens: int, lenders: Lenders
+        self, *, loan: LoanId, terms: TurnTerms, tokens: int, lenders: LoanService
     ) -> None:
         self.terms = terms
         self._loan = loan
@@ -70,10 +70,10 @@
     async def cover(self, total: int) -> bool:
         """Return whether so many tokens may be handed out, or ask for more."""
         if total > self._tokens and not self._closed:
-            raised = await self._lenders.raised(self._loan, self.terms)
+            increased = await self._lenders.increase(self._loan, self.terms)
             # A raise without an answer gives 0: the turn would lose what it has, and a
             # lost gateway count at less than it may have used. A loan only ever grows.
-            self._tokens = max(self._tokens, raised)
+            self._tokens = max(self._tokens, increased)
         # A stream that waits may outlast its turn. Nobody knows the lender of a settled
         # loan, so asking would fail with an error, and what goes out is not counted.
         return not self._closed and total <= self._tokens
@@ -89,7 +89,7 @@
             self._lenders.settle(self._loan, self.terms, self._handed)
 
 
-class Lenders:
+class LoanService:
     """Lend to other processes, and borrow from them.
 
     While the store is away no grant can be written, and a program that begins
@@ -104,39 +104,39 @@
         peers: Peers,
         book: LoanBook,
         claims: Claims,
-        claiming: Claiming,
-        standing: Standing,
+        claimer: SlotClaimer,
+        peer_health: PeerHealth,
     ) -> None:
         self._writer = writer
         self._own = own
         self._peers = peers
         self._book = book
         self._claims = claims
-        self._claiming = claiming
-        self._standing = standing
+        self._claimer = claimer
+        self._peer_health = peer_health
         self._numbers = itertools.count(1)
-        self._where: dict[LoanId, Link | None] = {}
-        self._telling = Telling(timeout=RETRY_TIMEOUT)
+        self._lender_links: dict[LoanId, Link | None] = {}
+        self._notifier = Notifier(timeout=RETRY_TIMEOUT)
 
     async def borrow(self, terms: TurnTerms, *, least: int) -> Loan | None:
         """Return a loan of `least` tokens or more; None where there is none."""
         request = LendRequest(loan=self._next_loan(), terms=terms, least=least)
         asked = 0
-        for lending in self._claims.lenders_of(slot_of(terms.program)):
-            host = self._claiming.host(lending.writer)
-            if host is None or not self._standing.usable(host):
+        for lender in self._claims.lenders_of(slot_of(terms.program)):
+            host = self._claimer.host(lender.writer)
+            if host is None or not self._peer_health.available(host):
                 continue
-            tokens = await self._ask(host, request)
+            tokens = await self._borrow_from(host, request)
             if tokens:
                 return Loan(loan=request.loan, terms=terms, tokens=tokens, lenders=self)
             asked += 1
-            if asked == MOST_ASKED:
+            if asked == MAX_LENDERS_ASKED:
                 break
         return None
 
-    async def raised(self, loan: LoanId, terms: TurnTerms) -> int:
+    async def increase(self, loan: LoanId, terms: TurnTerms) -> int:
         """Ask for more on a loan; return the tokens that it has then."""
-        link = self._where[loan]
+        link = self._lender_links[loan]
         request = LendRequest(loan=loan, terms=terms, least=0)
         if link is None:
             return self._lend(request)
@@ -145,11 +145,11 @@
 
     def settle(self, loan: LoanId, terms: TurnTerms, handed: int) -> None:
         """Tell the lender what was handed out, without waiting for its reply."""
-        link = self._where.pop(loan)
+        link = self._lender_links.pop(loan)
         if link is None:
             self._book.settle(loan, terms.program, handed)
         else:
-            self._tell(link, loan, terms, handed)
+            self._send_settlement(link, loan, terms, handed)
 
     def answer(self, request: Request) -> Reply:
         """Answer a borrower."""
@@ -163,12 +163,12 @@
     def _next_loan(self) -> LoanId:
         return LoanId(f"{self._writer}/{next(self._numbers)}")
 
-    async def _ask(self, host: HostName, request: LendRequest) -> int:
+    async def _borrow_from(self, host: HostName, request: LendRequest) -> int:
         """Return what a host lends, and remember where the loan is if it does."""
         if host == self._own:
             tokens = self._lend(request)
             if tokens:
-                self._where[request.loan] = None
+                self._lender_links[request.loan] = None
             return tokens
         link = self._peers.link(host)
         if link is None:
@@ -176,24 +176,26 @@
         try:
             reply = await link.call(request, timeout=ASK_TIMEOUT)
         except asyncio.CancelledError:
-            self._tell(link, request.loan, request.terms, 0)
+            self._send_settlement(link, request.loan, request.terms, 0)
             raise
         if not isinstance(reply, Lent):
             # It may have lent although its answer didn't come: return it all.
-            self._standing.failed(host, str(reply))
-            self._tell(link, request.loan, request.terms, 0)
+            self._peer_health.record_failure(host, str(reply))
+            self._send_settlement(link, request.loan, request.terms, 0)
             return 0
-        self._standing.served(host)
+        self._peer_health.record_success(host)
         if reply.tokens:
-            self._where[request.loan] = link
+            self._lender_links[request.loan] = link
         return reply.tokens
 
-    def _tell(self, link: Link, loan: LoanId, terms: TurnTerms, handed: int) -> None:
+    def _send_settlement(
+        self, link: Link, loan: LoanId, terms: TurnTerms, handed: int
+    ) -> None:
         request = SettleRequest(loan=loan, program=terms.program, handed=handed)
-        self._telling.tell(link, request, patience=SETTLE_PATIENCE)
+        self._notifier.notify(link, request, retry_for=SETTLE_RETRY_PERIOD)
 
     def _lend(self, request: LendRequest) -> int:
-        rank = self._claiming.rank(request.terms.program)
+        rank = self._claimer.rank(request.terms.program)
         if rank is None:
             return 0
         return self._book.lend(request.loan, request.terms, rank, request.least)
--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -24,14 +24,14 @@
 TOPIC = "keyed.peers"
 PARTITION = Partition(topic=TOPIC, number=0)
 # A peer that has failed is asked last for this time. Seconds.
-SHUN_SECONDS = 3.0
-MOST_PEERS_ASKED = 3
+DEPRIORITISE_SECONDS = 3.0
+MAX_PEERS_ASKED = 3
 # A peer that is frozen answers nothing; the call goes on to the next. Seconds.
 PEER_TIMEOUT = 0.5
-PEER_SILENCE = 1.0
+PEER_SILENCE_LIMIT = 1.0
 REGISTER_RETRY = 0.5
 # Others should soon know this process, whatever stood there before. Seconds.
-LIST_WAIT = 1.0
+FIRST_LIST_TIMEOUT = 1.0
 
 
 class PeerRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -60,22 +60,22 @@
         self._own_address = own_address
         self._seeds = [seed for seed in seeds if seed != own_address]
         self._rng = rng
-        self._links = Links(context=context, silence_limit=PEER_SILENCE)
+        self._links = Links(context=context, silence_limit=PEER_SILENCE_LIMIT)
         self._known: dict[HostName, PeerRecord] = {}
-        self._near: list[HostName] = []
-        self._host_of: dict[WriterId, HostName] = {}
+        self._neighbours: list[HostName] = []
+        self._hosts_by_writer: dict[WriterId, HostName] = {}
         # Grows when a registration changes.
         self.version = 0
         # Grows when a host is registered that was not, or is no more.
         self.hosts_version = 0
-        self._by_centre: dict[DataCentre, list[HostName]] = {}
+        self._hosts_by_centre: dict[DataCentre, list[HostName]] = {}
         self._listed = asyncio.Event()
         # Called with the process that this host's registration names, if there is
         # one, and whether that was read right after what stood there before.
-        self.own_changed: Callable[[WriterId | None, bool], None] = _ignore
+        self.on_own_registration: Callable[[WriterId | None, bool], None] = _ignore
         self._own_writer = WriterId("")
-        self._shunned: dict[str, float] = {}
-        self._liked: str | None = None
+        self._deprioritised_until: dict[str, float] = {}
+        self._preferred: str | None = None
 
     def __len__(self) -> int:
         return len(self._known)
@@ -85,31 +85,31 @@
         self._known.clear()
         self._own_writer = WriterId("")
         for record in records:
-            self._take(record)
-        self._tell_own(ordered=False)
+            self._apply(record)
+        self._notify_own_registration(ordered=False)
         self._listed.set()
-        self._index()
+        self._rebuild_indexes()
 
     def change(self, record: KeyedRecord) -> None:
         """Take over one registration."""
-        self._take(record)
+        self._apply(record)
         if record.key == self._own:
-            self._tell_own(ordered=True)
-        self._index()
+            self._notify_own_registration(ordered=True)
+        self._rebuild_indexes()
 
-    def registered(self, writer: WriterId) -> bool:
+    def own_registration_is(self, writer: WriterId) -> bool:
         """Return whether this host's registration is that of a process."""
         return self._own_writer == writer
 
     def host_of(self, writer: WriterId) -> HostName | None:
         """Return the other host on which a process runs; None if it is gone."""
-        return self._host_of.get(writer)
+        return self._hosts_by_writer.get(writer)
 
-    def by_centre(self) -> dict[DataCentre, list[HostName]]:
+    def hosts_by_centre(self) -> dict[DataCentre, list[HostName]]:
         """Return all registered hosts, this one too, by their data centre."""
-        return self._by_centre
+        return self._hosts_by_centre
 
-    def knows(self, host: HostName, writer: WriterId) -> bool:
+    def has_registration(self, host: HostName, writer: WriterId) -> bool:
         """Return whether another host's registration is that of a process."""
         record = self._known.get(host)
         return record is not None and record.writer == writer
@@ -127,7 +127,7 @@
         first = Writer(name=f"peer-{writer}", epoch=1, sequence=0)
         # What stood there before tells whether this process follows a lost one.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LIST_WAIT):
+            async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self._listed.wait()
         while True:
             done = await keyed_log.append(PARTITION, [record], writer=first)
@@ -146,22 +146,22 @@
     async def relay(self, call: StoreCall) -> StoreReply | Failure:
         """Make a call to the store through a peer that reaches it."""
         failure = Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="no peer is known")
-        for address in self._order():
+        for address in self._relay_candidates():
             timeout = call.timeout if call.waits else PEER_TIMEOUT
             link = self._links.to(f"tcp://{address}")
             reply = await link.call(StoreRequest(call=call), timeout=timeout)
             if isinstance(reply, StoreAnswer) and not reply.reply.turned_away:
-                self._liked = address
+                self._preferred = address
                 return reply.reply
             # A peer may be turned away like this process; the next one may not.
-            self._shun(address)
+            self._deprioritise(address)
             if isinstance(reply, Failed):
                 failure = reply.failure
         return failure
 
-    def near(self) -> list[HostName]:
+    def neighbours(self) -> list[HostName]:
         """Return the other daemons of the data centre that are known."""
-        return self._near
+        return self._neighbours
 
     def link(self, host: HostName) -> Link | None:
         """Return the link to a daemon; None if it is not known."""
@@ -172,7 +172,7 @@
         """End all links."""
         self._links.close()
 
-    def _take(self, record: KeyedRecord) -> None:
+    def _apply(self, record: KeyedRecord) -> None:
         host = HostName(record.key)
         found = _decode(record)
         if host == self._own:
@@ -182,50 +182,50 @@
         elif not record.value:
             self._known.pop(host, None)
 
-    def _index(self) -> None:
+    def _rebuild_indexes(self) -> None:
         """Keep what is asked for at each turn: hosts change seldom."""
         self.version += 1
-        self._near = [
+        self._neighbours = [
             host
             for host, one in self._known.items()
             if one.data_centre == self._data_centre
         ]
-        self._host_of = {one.writer: host for host, one in self._known.items()}
+        self._hosts_by_writer = {one.writer: host for host, one in self._known.items()}
         by_centre = defaultdict(list)
         for host, one in sorted(self._known.items()):
             by_centre[one.data_centre].append(host)
         if self._own_writer:
             by_centre[self._data_centre].append(self._own)
-        if self._by_centre != by_centre:
-            self._by_centre = dict(by_centre)
+        if self._hosts_by_centre != by_centre:
+            self._hosts_by_centre = dict(by_centre)
             self.hosts_version += 1
 
-    def _tell_own(self, *, ordered: bool) -> None:
-        self.own_changed(self._own_writer or None, ordered)
+    def _notify_own_registration(self, *, ordered: bool) -> None:
+        self.on_own_registration(self._own_writer or None, ordered)
 
-    def _order(self) -> list[str]:
+    def _relay_candidates(self) -> list[str]:
         """Return whom to ask, the best first.
 
         Peers of the same data centre go first: what they pass on are turns of
         all programs, and bytes between data centres are paid for.
         """
         now = asyncio.get_running_loop().time()
-        near = {self._known[host].address for host in self._near}
+        near = {self._known[host].address for host in self._neighbours}
         found = list({*(one.address for one in self._known.values()), *self._seeds})
         self._rng.shuffle(found)
 
         def rank(address: str) -> tuple[bool, bool, bool]:
-            shunned = self._shunned.get(address, 0) > now
-            return shunned, address not in near, address != self._liked
+            deprioritised = self._deprioritised_until.get(address, 0) > now
+            return deprioritised, address not in near, address != self._preferred
 
         found.sort(key=rank)
-        return found[:MOST_PEERS_ASKED]
+        return found[:MAX_PEERS_ASKED]
 
-    def _shun(self, address: str) -> None:
+    def _deprioritise(self, address: str) -> None:
         now = asyncio.get_running_loop().time()
-        self._shunned[address] = now + SHUN_SECONDS
-        if self._liked == address:
-            self._liked = None
+        self._deprioritised_until[address] = now + DEPRIORITISE_SECONDS
+        if self._preferred == address:
+            self._preferred = None
 
 
 class PeerServer:
@@ -241,7 +241,7 @@
     ) -> None:
         self._caller = caller
         self._reaches_store = reaches_store
-        self.fallback: Handler = _answer_none
+        self.fallback: Handler = _reject_request
         self._responder = Responder(
             context=context, address=f"tcp://{address}", handler=self._answer
         )
@@ -285,6 +285,6 @@
     """Do nothing with a registration."""
 
 
-async def _answer_none(request: Request, send: Send) -> Reply:
+async def _reject_request(request: Request, send: Send) -> Reply:
     reason = f"not for this process: {type(request).__name__}"
     return Failed(failure=Failure(kind=ErrorKind.MALFORMED, reason=reason))
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -9,8 +9,8 @@
 from ..workspaces.limiter import NOT_KEPT, Limiter, Tokens
 from ..workspaces.quotas import Refusal, shortest
 from ..workspaces.shares import Keepers
+from .peer_health import PeerHealth
 from .peers import Peers
-from .standing import Standing
 
 # A keeper answers from memory. One that does not within this time is dead, frozen
 # or overloaded. Seconds.
@@ -25,14 +25,14 @@
         *,
         own: HostName,
         peers: Peers,
-        standing: Standing,
+        peer_health: PeerHealth,
         keepers: Keepers,
         limiter: Limiter,
         purse: Purse,
     ) -> None:
         self._own = own
         self._peers = peers
-        self._standing = standing
+        self._peer_health = peer_health
         self._keepers = keepers
         self._limiter = limiter
         self._purse = purse
@@ -48,12 +48,12 @@
         if wait is not None:
             return Refusal(wait=wait)
         answers = []
-        for share, host in self._order(workspace):
+        for share, host in self._shares_nearest_first(workspace):
             asked = self._purse.now()
-            found = await self._ask(host, workspace, share, begins)
-            if found.count:
-                return self._purse.put(workspace, found.count - 1, asked=asked)
-            answers.append(found)
+            tokens = await self._take_from(host, workspace, share, begins)
+            if tokens.count:
+                return self._purse.put(workspace, tokens.count - 1, asked=asked)
+            answers.append(tokens)
         refusal = shortest(answers)
         if refusal.kept:
             self._purse.refuse(workspace, refusal.wait, begins=begins)
@@ -70,33 +70,33 @@
 
     def answer(self, request: TakeTokens) -> Reply:
         """Answer another gateway."""
-        found = self._limiter.take(
+        tokens = self._limiter.take(
             request.workspace, request.share, request.count, begins=request.begins
         )
-        return TokensTaken(tokens=found)
+        return TokensTaken(tokens=tokens)
 
-    def _order(self, workspace: Workspace) -> list[tuple[int, HostName]]:
+    def _shares_nearest_first(self, workspace: Workspace) -> list[tuple[int, HostName]]:
         """Return the shares with their keepers, the nearest first."""
-        near = {self._own, *self._peers.near()}
+        near = {self._own, *self._peers.neighbours()}
         shares = list(enumerate(self._keepers.of(workspace)))
         shares.sort(key=lambda entry: (entry[1] != self._own, entry[1] not in near))
         return shares
 
-    async def _ask(
+    async def _take_from(
         self, host: HostName, workspace: Workspace, share: int, begins: bool
     ) -> Tokens:
         count = self._purse.wanted(workspace)
         if host == self._own:
             return self._limiter.take(workspace, share, count, begins=begins)
         link = self._peers.link(host)
-        if link is None or not self._standing.usable(host):
+        if link is None or not self._peer_health.available(host):
             return NOT_KEPT
         request = TakeTokens(
             workspace=workspace, share=share, count=count, begins=begins
         )
         reply = await link.call(request, timeout=ASK_TIMEOUT)
         if not isinstance(reply, TokensTaken):
-            self._standing.failed(host, str(reply))
+            self._peer_health.record_failure(host, str(reply))
             return NOT_KEPT
-        self._standing.served(host)
+        self._peer_health.record_success(host)
         return reply.tokens
--- a/sequoiaarch/fleet/ranking.py
+++ b/sequoiaarch/fleet/ranking.py
@@ -17,18 +17,18 @@
 
 def rank_of(own: HostName, name: str, hosts: Iterable[HostName]) -> int:
     """Return how many hosts come before the own one for a name."""
-    limit = score(name, own)
-    return sum(score(name, host) > limit for host in hosts)
+    own_score = score(name, own)
+    return sum(score(name, host) > own_score for host in hosts)
 
 
-def leads(own: HostName, name: str, hosts: Iterable[HostName]) -> bool:
+def ranks_first(own: HostName, name: str, hosts: Iterable[HostName]) -> bool:
     """Return whether no host comes before the own one for a name.
 
     Of many hosts few have to be looked at: each comes before the own one as
     likely as not.
     """
-    limit = score(name, own)
-    return not any(score(name, host) > limit for host in hosts)
+    own_score = score(name, own)
+    return not any(score(name, host) > own_score for host in hosts)
 
 
 class SlotRanking:
@@ -51,7 +51,7 @@
         self._seen: int | None = None
         self._orders: dict[int, list[HostName]] = {}
 
-    def order(self, slot: int) -> list[HostName]:
+    def hosts_for(self, slot: int) -> list[HostName]:
         """Return this host and its neighbours, the first one for a slot first."""
         version = self._version()
         if version != self._seen:
--- a/sequoiaarch/fleet/joining.py
+++ b/sequoiaarch/fleet/registration_check.py
@@ -14,10 +14,10 @@
 ASK_TIMEOUT = 0.5
 ASK_INTERVAL = 0.1
 # With more hosts than these it is cheaper to wait than to have a link to each.
-MOST_HOSTS = 64
+MAX_HOSTS = 64
 
 
-class Joining:
+class RegistrationCheck:
     """Ask all registered hosts whether they see this one's registration.
 
     Until then some may keep a share that has fallen to this host. One that does not
@@ -37,24 +37,24 @@
         """Ask whenever this host waits, again and again."""
         while True:
             await asyncio.sleep(ASK_INTERVAL)
-            if self._tenure.waits and await self._all_see():
+            if self._tenure.waits and await self._seen_by_all():
                 self._tenure.seen_by_all()
 
     def answer(self, request: SeenRequest) -> Reply:
         """Tell another host whether it is seen."""
-        if self._peers.knows(request.host, request.writer):
+        if self._peers.has_registration(request.host, request.writer):
             return Accepted()
         return failure_reply(f"{request.host} is not seen")
 
-    async def _all_see(self) -> bool:
+    async def _seen_by_all(self) -> bool:
         """Return whether every host that was registered sees this one."""
         hosts = self._peers.hosts()
-        if len(hosts) > MOST_HOSTS:
+        if len(hosts) > MAX_HOSTS:
             return False
-        answers = await asyncio.gather(*(self._sees(host) for host in hosts))
+        answers = await asyncio.gather(*(self._seen_by(host) for host in hosts))
         return all(answers)
 
-    async def _sees(self, host: HostName) -> bool:
+    async def _seen_by(self, host: HostName) -> bool:
         link = self._peers.link(host)
         if link is None:
             return False
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -24,9 +24,9 @@
     slot_name,
     slot_of,
 )
+from .peer_health import PeerHealth
 from .peers import Peers
-from .ranking import leads
-from .standing import Standing
+from .ranking import ranks_first
 
 log = logbook.Logger("lenders")
 
@@ -38,10 +38,10 @@
 RETRY_SECONDS = 0.5
 # What a stopped process had lent goes into one record, which the store bounds at
 # 256 KiB: 4,000 programs. With more its claims stay, as after a crash. Bytes.
-MOST_CARRIED_BYTES = 192 * 1024
+MAX_CARRIED_BYTES = 192 * 1024
 
 
-class Claiming:
+class SlotClaimer:
     """Keep this process's claims in the log, and say what they allow it.
 
     The place of a process among the lenders of a slot follows from the order of
@@ -56,7 +56,7 @@
         peers: Peers,
         book: LoanBook,
         claims: Claims,
-        standing: Standing,
+        peer_health: PeerHealth,
         seen_from: Callable[[], float] = boot_time,
         clock: Callable[[], float] = boot_time,
     ) -> None:
@@ -65,22 +65,22 @@
         self._peers = peers
         self._book = book
         self._claims = claims
-        self._standing = standing
+        self._peer_health = peer_health
         self._seen_from = seen_from
         self._clock = clock
-        self.retirement = ClaimExpiry()
+        self.expiry = ClaimExpiry()
         self._stopped = False
-        self._appends = itertools.count()
+        self._append_numbers = itertools.count()
 
     def rank(self, program: ProgramId) -> int | None:
         """Return this process's place for a program; None if it may not lend."""
-        if self._stopped or not self._peers.registered(self._writer):
+        if self._stopped or not self._peers.own_registration_is(self._writer):
             return None
         if self._clock() - self._seen_from() > LENDING_LEASE:
             return None
-        for lending in self._claims.lenders_of(slot_of(program)):
-            if lending.writer == self._writer:
-                return lending.rank
+        for lender in self._claims.lenders_of(slot_of(program)):
+            if lender.writer == self._writer:
+                return lender.rank
         return None
 
     def host(self, writer: WriterId) -> HostName | None:
@@ -92,11 +92,11 @@
         await asyncio.sleep(FIRST_CLAIM_DELAY)
         while True:
             self._book.forget_old()
-            slots = self._to_claim()
+            slots = self._slots_to_claim()
             if slots:
                 await self._append(keyed_log, slots)
                 log.info("lends to the programs of {} slots", len(slots))
-            for key in self.to_retire(retention()):
+            for key in self.expired_claims(retention()):
                 await self._remove(keyed_log, key)
             await asyncio.sleep(CLAIM_INTERVAL)
 
@@ -110,48 +110,46 @@
         keys = self._claims.keys_of(self._writer)
         carried = CarriedRecord(writer=self._writer, tokens=self._book.totals())
         value = msgspec.json.encode(carried)
-        if not keys or len(value) > MOST_CARRIED_BYTES:
+        if not keys or len(value) > MAX_CARRIED_BYTES:
             return
         # After the claims in the order of keys too: a list that is read in
         # pages must not show that they are gone and not what they had lent.
         records = [KeyedRecord(key=f"{self._writer}/carried", value=value)]
         records += [KeyedRecord(key=key, value=b"") for key in keys]
-        await self._write(keyed_log, next(self._appends), records)
+        await self._write(keyed_log, next(self._append_numbers), records)
         log.info("{} claims were taken back", len(keys))
 
-    def _to_claim(self) -> list[int]:
+    def _slots_to_claim(self) -> list[int]:
         """Return the slots that fall to this process, by rendezvous."""
-        if self._stopped or not self._peers.registered(self._writer):
+        if self._stopped or not self._peers.own_registration_is(self._writer):
             return []
         new = set(self._claims.unclaimed(self._registered))
         return [
             slot
-            for slot in self._claims.unclaimed(self._live)
-            if self._falls_here(slot, near=slot not in new)
+            for slot in self._claims.unclaimed(self._presumed_live)
+            if self._is_assigned_here(slot, near=slot not in new)
         ]
 
-    def _falls_here(self, slot: int, *, near: bool) -> bool:
+    def _is_assigned_here(self, slot: int, *, near: bool) -> bool:
         """Return whether a slot falls to this host, of all or of the data centre.
 
         That a registered machine is gone is known only where its requests go.
         """
-        others = self._peers.near() if near else self._peers.hosts()
-        hosts = (host for host in others if not self._standing.gone(host))
-        return leads(self._own, slot_name(slot), hosts)
+        others = self._peers.neighbours() if near else self._peers.hosts()
+        hosts = (host for host in others if not self._peer_health.presumed_gone(host))
+        return ranks_first(self._own, slot_name(slot), hosts)
 
-    def to_retire(self, retention: float) -> list[str]:
+    def expired_claims(self, retention: float) -> list[str]:
         """Return the claims that can go, by registrations alone.
 
         A process that only this one can't reach still lends to others.
         """
-        return self.retirement.expired(
-            self._claims.writers(), self._registered, retention
-        )
+        return self.expiry.expired(self._claims.writers(), self._registered, retention)
 
     def _registered(self, writer: WriterId) -> bool:
         return self.host(writer) is not None
 
-    def _live(self, writer: WriterId) -> bool:
+    def _presumed_live(self, writer: WriterId) -> bool:
         """Return whether a process lends, as far as is known here.
 
         This decides who claims besides it, never who loses a place. A machine
@@ -159,10 +157,10 @@
         in eight with eight machines, had nobody to lend to them.
         """
         host = self.host(writer)
-        return host is not None and not self._standing.gone(host)
+        return host is not None and not self._peer_health.presumed_gone(host)
 
     async def _append(self, keyed_log: KeyedLog, slots: list[int]) -> None:
-        number = next(self._appends)
+        number = next(self._append_numbers)
         claim = ClaimRecord(writer=self._writer, slots=tuple(slots))
         key = f"{self._writer}/{number}"
         value = msgspec.json.encode(claim)
@@ -170,7 +168,7 @@
         await self._write(keyed_log, number, [record])
 
     async def _remove(self, keyed_log: KeyedLog, key: str) -> None:
-        number = next(self._appends)
+        number = next(self._append_numbers)
         await self._write(keyed_log, number, [KeyedRecord(key=key, value=b"")])
         log.info("claim {} was removed, its process is long gone", key)
 
--- a/sequoiaarch/fleet/target_reports.py
+++ b/sequoiaarch/fleet/target_reports.py
@@ -7,9 +7,9 @@
 from ..ids import HostName, InstanceId
 from ..policies.health import TargetHealth
 from ..wire.messages import Accepted, Reply, TargetReport
+from .notifier import Notifier
 from .peers import Peers
 from .ranking import rank_of
-from .telling import Telling
 
 # A report is of use for about as long as requests keep failing. Seconds.
 REPORT_TIMEOUT = 0.5
@@ -27,17 +27,17 @@
         self._own = own
         self._peers = peers
         self._health = health
-        self._telling = Telling(timeout=REPORT_TIMEOUT)
+        self._notifier = Notifier(timeout=REPORT_TIMEOUT)
 
     def broadcast(self, instance: InstanceId, ok: bool) -> None:
         """Tell the neighbours that a target failed or serves again."""
         report = TargetReport(instance=instance, host=self._own, ok=ok)
-        for host in self._peers.near():
+        for host in self._peers.neighbours():
             link = self._peers.link(host)
             if link is not None:
-                self._telling.tell(link, report)
+                self._notifier.notify(link, report)
 
-    def take(self, report: TargetReport) -> Reply:
+    def receive(self, report: TargetReport) -> Reply:
         """Take over what a neighbour saw."""
         now = asyncio.get_running_loop().time()
         self._health.told(report.instance, report.host, ok=report.ok, now=now)
@@ -45,4 +45,4 @@
 
     def rank(self, name: str) -> int:
         """Return this host's place among the neighbours for a name."""
-        return rank_of(self._own, name, self._peers.near())
+        return rank_of(self._own, name, self._peers.neighbours())
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -33,11 +33,11 @@
 
 # A gateway that hears nothing for 1.5 s takes its delegate for lost. While the
 # store is away the end of a turn waits for longer than that. Seconds.
-WORD_INTERVAL = 0.5
+PROGRESS_INTERVAL = 0.5
 CALLER_LEFT = "the caller left"
 NOT_OPEN = "the turn is not open here"
 # Ends of turns that were not open here; those of some seconds at the peak.
-ENDS_REMEMBERED = 1000
+MAX_EARLY_ENDS = 1000
 
 
 class TurnServer:
@@ -48,7 +48,7 @@
         self._ledger = ledger
         self._open: dict[OpeningId, LocalTurn] = {}
         # Openings whose end came while they were not open here, the newest last.
-        self._ended_unopened: OrderedDict[OpeningId, None] = OrderedDict()
+        self._early_ends: OrderedDict[OpeningId, None] = OrderedDict()
         self.stopping = False
 
     @property
@@ -61,19 +61,19 @@
         if isinstance(request, CloseTurnRequest):
             self._close(request.opening, request.handed)
             return Accepted()
-        work = asyncio.create_task(self._work(request))
+        work = asyncio.create_task(self._handle(request))
         try:
             # The first word comes at once, and others while the store is awaited.
             while not work.done():
                 await send(Accepted())
-                await asyncio.wait([work], timeout=WORD_INTERVAL)
+                await asyncio.wait([work], timeout=PROGRESS_INTERVAL)
         finally:
             work.cancel()
         return work.result()
 
-    async def _work(self, request: Request) -> Reply:
+    async def _handle(self, request: Request) -> Reply:
         if isinstance(request, OpenTurnRequest):
-            return await self._begin(request.opening, request.start)
+            return await self._open_turn(request.opening, request.start)
         if isinstance(request, ConfirmTurnRequest):
             return await self._confirm(request.opening)
         if isinstance(request, CoverTurnRequest):
@@ -83,19 +83,19 @@
             return Accepted()
         return failure_reply(f"not for this part: {request}")
 
-    async def _begin(self, opening: OpeningId, start: TurnStart) -> Reply:
+    async def _open_turn(self, opening: OpeningId, start: TurnStart) -> Reply:
         if self.stopping:
             return failure_reply("stopping")
         # A process that stood still finds a beginning and its end together, in
         # either order.
-        if opening in self._ended_unopened:
+        if opening in self._early_ends:
             return failure_reply(CALLER_LEFT)
         opened = await self._local.open(start)
         if isinstance(opened, Lookup):
             return TurnRefused(lookup=opened)
         if isinstance(opened, BudgetVerdict):
             return TurnRefused(verdict=opened)
-        if opening in self._ended_unopened:
+        if opening in self._early_ends:
             opened.close()
             return failure_reply(CALLER_LEFT)
         self._open[opening] = opened
@@ -139,20 +139,20 @@
     def _close(self, opening: OpeningId, handed: int) -> None:
         opened = self._open.pop(opening, None)
         if opened is None:
-            self._remember_end(opening)
+            self._record_early_end(opening)
             return
         opened.hand_out_total(handed)
         opened.close()
 
-    def _remember_end(self, opening: OpeningId) -> None:
+    def _record_early_end(self, opening: OpeningId) -> None:
         """Keep in mind that a turn has ended, should its beginning come later.
 
         A link that fell silent is made anew, and what waits in the old one may be
         read after what came through the new one. Nobody would end such a turn.
         """
-        self._ended_unopened[opening] = None
-        if len(self._ended_unopened) > ENDS_REMEMBERED:
-            self._ended_unopened.popitem(last=False)
+        self._early_ends[opening] = None
+        if len(self._early_ends) > MAX_EARLY_ENDS:
+            self._early_ends.popitem(last=False)
 
     def _expire(self, opening: OpeningId, terms: TurnTerms) -> None:
         """Count all that a turn was covered for whose gateway never told its end."""
--- a/sequoiaarch/membership/view.py
+++ b/sequoiaarch/membership/view.py
@@ -47,9 +47,9 @@
         self._hosts: dict[HostName, HostState] | None = None
         self._silent: set[TargetName] = set()
         self._loads: dict[TargetName, Load] = {}
-        self._sent: dict[TargetName, int] = {}
+        self._calls_since_report: dict[TargetName, int] = {}
         self._probes: dict[TargetName, asyncio.Task[None]] = {}
-        self._reported: dict[TargetName, float] = {}
+        self._reported_at: dict[TargetName, float] = {}
 
     def sidecar_addresses(self) -> dict[TargetName, str]:
         """Return the address of every sidecar that should answer."""
@@ -96,24 +96,24 @@
 
     def report_age(self, name: TargetName) -> float:
         """Return the seconds since a target reported its load."""
-        reported = self._reported.get(name)
+        reported = self._reported_at.get(name)
         return time.monotonic() - reported if reported is not None else math.inf
 
     def sent_since(self, name: TargetName) -> int:
         """Return the calls sent to a target since it reported."""
-        return self._sent.get(name, 0)
+        return self._calls_since_report.get(name, 0)
 
     def note_sent(self, name: TargetName) -> None:
         """Count a call that was sent to a target."""
-        self._sent[name] = self._sent.get(name, 0) + 1
+        self._calls_since_report[name] = self._calls_since_report.get(name, 0) + 1
 
     def note_load(self, load: Load | None) -> None:
         """Take in the load that came with a reply."""
         if load is None:
             return
         self._loads[load.target] = load
-        self._sent[load.target] = 0
-        self._reported[load.target] = time.monotonic()
+        self._calls_since_report[load.target] = 0
+        self._reported_at[load.target] = time.monotonic()
         if load.draining:
             self._probe(load.target)
 
@@ -158,10 +158,10 @@
         while True:
             entries = await self._host_list.hosts()
             if not isinstance(entries, Failure):
-                self._take({entry.host: entry.state for entry in entries})
+                self._update_hosts({entry.host: entry.state for entry in entries})
             await asyncio.sleep(LIST_INTERVAL)
 
-    def _take(self, hosts: dict[HostName, HostState]) -> None:
+    def _update_hosts(self, hosts: dict[HostName, HostState]) -> None:
         before = self._hosts or {}
         for host in sorted(before.keys() | hosts.keys()):
             if before and before.get(host) is not hosts.get(host):
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -14,9 +14,9 @@
 
 from ...errors import ErrorKind, Failure
 from ...fleet.delegated_turn import DelegatedTurn
-from ...fleet.delegates import DelegatedTurns, Delegates
+from ...fleet.delegates import DelegatedTurns, DelegateSelector
+from ...fleet.peer_health import PeerHealth
 from ...fleet.peers import PeerRecord, Peers, PeerServer
-from ...fleet.standing import Standing
 from ...fleet.turn_server import TurnServer, failure_reply
 from ...ids import (
     DataCentre,
@@ -127,7 +127,9 @@
         local = LocalTurns(ledger=self.ledger)
         self.turn_server = TurnServer(local=local, ledger=self.ledger)
         self.server.fallback = self.turn_server.answer
-        self.delegates = Delegates(own=self.name, peers=self.peers, standing=Standing())
+        self.delegates = DelegateSelector(
+            own=self.name, peers=self.peers, peer_health=PeerHealth()
+        )
         self.turns = DelegatedTurns(
             delegates=self.delegates,
             local=local,
@@ -151,7 +153,7 @@
                 record = PeerRecord(address=other.address, data_centre=HERE)
                 value = msgspec.json.encode(record)
                 process.peers.change(KeyedRecord(key=other.name, value=value))
-        delegate = processes["one"].delegates.of(PROGRAM) or HostName("one")
+        delegate = processes["one"].delegates.delegate_of(PROGRAM) or HostName("one")
         self.delegate = processes.pop(delegate)
         self.other = processes.popitem()[1]
 
@@ -305,7 +307,7 @@
         self.assertIsInstance(turn, LocalTurn)
         assert turn.history is not None
         self.assertEqual(turn.history.prompt, b"inout")
-        self.assertIsNone(self.other.delegates.of(PROGRAM))
+        self.assertIsNone(self.other.delegates.delegate_of(PROGRAM))
 
     async def test_delegate_dies_before_the_commit(self) -> None:
         """Commit a turn here whose delegate is lost at the turn's end.
@@ -398,7 +400,7 @@
         await turn.commit(b"in", b"out")
         ended.set()
         covered = await asking
-        self.assertEqual(self.other.delegates.of(PROGRAM), self.delegate.name)
+        self.assertEqual(self.other.delegates.delegate_of(PROGRAM), self.delegate.name)
         self.assertFalse(covered)
         self.assertEqual(await self.granted(self.other), 0)
 
@@ -418,7 +420,7 @@
         await self.ended_at_delegate(within=PATIENCE)
         ended.set()
         covered = await asking
-        self.assertEqual(self.other.delegates.of(PROGRAM), self.delegate.name)
+        self.assertEqual(self.other.delegates.delegate_of(PROGRAM), self.delegate.name)
         self.assertFalse(covered)
         self.assertEqual(await self.granted(self.other), 0)
 
@@ -676,7 +678,7 @@
             if isinstance(found, LocalTurn | DelegatedTurn):
                 found.close()
             await asyncio.sleep(3 * LIFETIME)
-            self.other.delegates.standing = Standing()
+            self.other.delegates.peer_health = PeerHealth()
         await self.settled(0)
         found = await self.other.turns.open(start("t2", budget=budget))
         self.assertIsInstance(found, LocalTurn | DelegatedTurn)
@@ -796,7 +798,7 @@
             self.assertTrue(await earlier.cover(BESIDE // 2))
             earlier.hand_out(BESIDE // 2)
         self.assertFalse(await earlier.cover(1))
-        self.assertEqual(self.other.delegates.of(PROGRAM), self.delegate.name)
+        self.assertEqual(self.other.delegates.delegate_of(PROGRAM), self.delegate.name)
         await self.run_whole(newer)
 
     async def test_gateway_goes_on_when_the_newer_turn_has_ended(self) -> None:
--- a/sequoiaarch/tests/fleet/lenders_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -11,7 +11,7 @@
 
 import zmq.asyncio
 
-from ...fleet import slot_claimer as claiming_module
+from ...fleet import slot_claimer as slot_claimer_module
 from ...fleet.claims import (
     EXPIRY_MARGIN,
     LENDING_LEASE,
@@ -20,11 +20,11 @@
     Claims,
     slot_of,
 )
-from ...fleet.lenders import ASK_TIMEOUT, Lenders
+from ...fleet.loan_service import ASK_TIMEOUT, LoanService
+from ...fleet.notifier import RETRY_TIMEOUT
+from ...fleet.peer_health import GONE_FAILURES, PeerHealth
 from ...fleet.peers import TOPIC as PEERS_TOPIC, Peers, PeerServer
-from ...fleet.slot_claimer import Claiming
-from ...fleet.standing import GONE_FAILURES, Standing
-from ...fleet.telling import RETRY_TIMEOUT
+from ...fleet.slot_claimer import SlotClaimer
 from ...fleet.turn_server import TurnServer
 from ...ids import DataCentre, HostName, OpeningId, ProgramId, TurnId, WriterId
 from ...ledger.holds import NoLender
@@ -108,25 +108,25 @@
         self.book = LoanBook(split=PartLent(), carried=self.claims.carried)
         self.seen_from = 0.0
         self.now = 0.0
-        self.standing = Standing()
-        self.claiming = Claiming(
+        self.peer_health = PeerHealth()
+        self.claimer = SlotClaimer(
             writer=self.writer,
             own=self.name,
             peers=self.peers,
             book=self.book,
             claims=self.claims,
-            standing=self.standing,
+            peer_health=self.peer_health,
             seen_from=lambda: self.seen_from,
             clock=lambda: self.now,
         )
-        self.lenders = Lenders(
+        self.lenders = LoanService(
             writer=self.writer,
             own=self.name,
             peers=self.peers,
             book=self.book,
             claims=self.claims,
-            claiming=self.claiming,
-            standing=self.standing,
+            claimer=self.claimer,
+            peer_health=self.peer_health,
         )
         self.turns = LocalTurns(ledger=self.ledger, lender=self.lenders)
         self.server.fallback = self.answer
@@ -153,7 +153,7 @@
         ]
         parts = [one.follow() for one in followers]
         parts.append(self.peers.register(self.client, self.writer))
-        parts.append(self.claiming.run(self.client, lambda: RETENTION))
+        parts.append(self.claimer.run(self.client, lambda: RETENTION))
         parts.append(self.server.run())
         return [asyncio.create_task(part) for part in parts]
 
@@ -193,13 +193,13 @@
         return self._process.lenders.answer(request)
 
 
-class LendersTests(unittest.IsolatedAsyncioTestCase):
+class LoanServiceTests(unittest.IsolatedAsyncioTestCase):
     """Run processes of three data centres over real sockets."""
 
     async def asyncSetUp(self) -> None:
         """Start three processes, one of which lends to the program."""
         for name, value in (("FIRST_CLAIM_DELAY", 0.3), ("CLAIM_INTERVAL", 0.1)):
-            patch = mock.patch.object(claiming_module, name, value)
+            patch = mock.patch.object(slot_claimer_module, name, value)
             patch.start()
             self.addCleanup(patch.stop)
         self.store = KeyedStore()
@@ -437,8 +437,8 @@
         left = [one for one in self.processes if one is not self.lender]
         for process in left:
             for _ in range(GONE_FAILURES):
-                process.standing._until.clear()
-                process.standing.failed(self.lender.name, "no reply")
+                process.peer_health._retry_at.clear()
+                process.peer_health.record_failure(self.lender.name, "no reply")
         await self.until(lambda: any(one.rank == 1 for one in left))
         await self.until(
             lambda: len(self.other.claims.lenders_of(slot_of(PROGRAM))) == 2
@@ -455,13 +455,13 @@
         lend the same tokens to a program that comes back.
         """
         clock = mock.Mock(return_value=0.0)
-        self.other.claiming.retirement = ClaimExpiry(clock=clock)
+        self.other.claimer.expiry = ClaimExpiry(clock=clock)
         for _ in range(GONE_FAILURES):
-            self.other.standing._until.clear()
-            self.other.standing.failed(self.lender.name, "no reply")
-        self.assertEqual(self.other.claiming.to_retire(RETENTION), [])
+            self.other.peer_health._retry_at.clear()
+            self.other.peer_health.record_failure(self.lender.name, "no reply")
+        self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
         clock.return_value = 100 * LENDING_LEASE
-        self.assertEqual(self.other.claiming.to_retire(RETENTION), [])
+        self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
 
     async def test_process_that_follows_lends_the_next_part(self) -> None:
         """Give a process that was started again a part of its own.
@@ -491,7 +491,7 @@
         self.closing.append(fresh.server.close)
         await self.until(lambda: fresh.rank is not None)
         self.assertEqual(fresh.rank, 1)
-        await self.until(lambda: self.other.claiming.host(fresh.writer) is not None)
+        await self.until(lambda: self.other.claimer.host(fresh.writer) is not None)
         self.take_store_away()
         turn = await self.lent(self.other, "turn-last", most=90)
         handed += turn.covered or 0
@@ -511,7 +511,7 @@
         await self.until(lambda: not self._owes())
         for process in self.processes:
             process.client.faults.down = False
-        await self.lender.claiming.stop(self.lender.client)
+        await self.lender.claimer.stop(self.lender.client)
         await self.lender.peers.unregister(self.lender.client, self.lender.writer)
         left = [one for one in self.processes if one is not self.lender]
         await self.until(lambda: any(one.rank == 0 for one in left))
@@ -723,7 +723,7 @@
             await self._lose_all(loss)
         clock = mock.Mock(return_value=0.0)
         for process in self.processes:
-            process.claiming.retirement = ClaimExpiry(clock=clock)
+            process.claimer.expiry = ClaimExpiry(clock=clock)
         lender = next(one for one in self.processes if one.rank is not None)
         other = next(one for one in self.processes if one.rank is None)
         self.assertEqual(lender.rank, 2)
@@ -764,7 +764,7 @@
 
     def _knows_a_living_lender(self, process: Process) -> bool:
         lenders = process.claims.lenders_of(slot_of(PROGRAM))
-        return any(process.claiming.host(one.writer) is not None for one in lenders)
+        return any(process.claimer.host(one.writer) is not None for one in lenders)
 
     async def test_spent_log_is_continued_by_the_lender(self) -> None:
         """Let a program use its whole budget while the store answers.
@@ -823,6 +823,6 @@
 
     def test_unknown_request(self) -> None:
         """Say that it is not for this part."""
-        lenders = mock.Mock(spec=Lenders)
-        reply = Lenders.answer(lenders, mock.Mock())
+        lenders = mock.Mock(spec=LoanService)
+        reply = LoanService.answer(lenders, mock.Mock())
         self.assertIsInstance(reply, Failed)
--- a/sequoiaarch/tests/fleet/telling_tests.py
+++ b/sequoiaarch/tests/fleet/notifier_tests.py
@@ -8,8 +8,8 @@
 import zmq
 import zmq.asyncio
 
-from ...fleet.peers import PEER_SILENCE
-from ...fleet.telling import RETRY_TIMEOUT, Telling
+from ...fleet.notifier import RETRY_TIMEOUT, Notifier
+from ...fleet.peers import PEER_SILENCE_LIMIT
 from ...ids import OpeningId
 from ...wire.links import Link
 from ...wire.messages import CloseTurnRequest
@@ -27,7 +27,7 @@
         self.peer.bind(LOOPBACK)
         address = self.peer.getsockopt_string(zmq.LAST_ENDPOINT)
         self.link = Link(
-            context=self.context, address=address, silence_limit=PEER_SILENCE
+            context=self.context, address=address, silence_limit=PEER_SILENCE_LIMIT
         )
 
     async def asyncTearDown(self) -> None:
@@ -44,10 +44,10 @@
         before a link is taken for silent begins anew each time, on the dead
         connection, until nobody needs to know any more.
         """
-        telling = Telling(timeout=RETRY_TIMEOUT)
+        notifier = Notifier(timeout=RETRY_TIMEOUT)
         before = self.link._socket
         request = CloseTurnRequest(opening=OpeningId("1"), handed=0)
-        telling.tell(self.link, request, patience=PEER_SILENCE)
-        async with asyncio.timeout(3 * PEER_SILENCE):
+        notifier.notify(self.link, request, retry_for=PEER_SILENCE_LIMIT)
+        async with asyncio.timeout(3 * PEER_SILENCE_LIMIT):
             while self.link._socket is before:
                 await asyncio.sleep(0.05)
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -10,9 +10,9 @@
 import msgspec
 import zmq.asyncio
 
+from ...fleet.peer_health import PeerHealth
 from ...fleet.peers import PeerRecord, Peers, PeerServer
 from ...fleet.quotas import FleetQuotas
-from ...fleet.standing import Standing
 from ...ids import DataCentre, HostName, Workspace, WriterId
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
@@ -56,7 +56,7 @@
         )
         self.now = START
         self.keepers = Keepers(
-            hosts=self.peers.by_centre, version=lambda: self.peers.version
+            hosts=self.peers.hosts_by_centre, version=lambda: self.peers.version
         )
         self.limiter = Limiter(
             bounds=BOUNDS,
@@ -70,7 +70,7 @@
         self.quotas = FleetQuotas(
             own=self.name,
             peers=self.peers,
-            standing=Standing(),
+            peer_health=PeerHealth(),
             keepers=self.keepers,
             limiter=self.limiter,
             purse=Purse(clock=lambda: self.now),
--- a/sequoiaarch/tests/fleet/joining_tests.py
+++ b/sequoiaarch/tests/fleet/registration_check_tests.py
@@ -9,9 +9,9 @@
 import msgspec
 import zmq.asyncio
 
-from ...fleet import joining as joining_module
-from ...fleet.joining import Joining
+from ...fleet import registration_check as check_module
 from ...fleet.peers import PeerRecord, Peers, PeerServer
+from ...fleet.registration_check import RegistrationCheck
 from ...ids import DataCentre, HostName, WriterId
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
@@ -42,7 +42,7 @@
             rng=random.Random(1),
         )
         self.tenure = Tenure(lease=LEASE, clock=lambda: self.now)
-        self.joining = Joining(
+        self.check = RegistrationCheck(
             own=self.name, writer=self.writer, peers=self.peers, tenure=self.tenure
         )
         self.server.fallback = self.answer
@@ -50,7 +50,7 @@
     async def answer(self, request: Request, send: Send) -> Reply:
         """Tell whether a host is seen."""
         assert isinstance(request, SeenRequest)
-        return self.joining.answer(request)
+        return self.check.answer(request)
 
     def see(self, other: _Host) -> None:
         """See the registration of a host."""
@@ -61,7 +61,7 @@
         self.peers.change(KeyedRecord(key=other.name, value=value))
 
 
-class JoiningTests(unittest.IsolatedAsyncioTestCase):
+class RegistrationCheckTests(unittest.IsolatedAsyncioTestCase):
     """Add a host to two others, over real sockets."""
 
     async def asyncSetUp(self) -> None:
@@ -76,7 +76,7 @@
         self.new.tenure.viewed(self.new.now)
         hosts = [self.new, *self.others]
         self.serving = [asyncio.create_task(one.server.run()) for one in hosts]
-        self.serving.append(asyncio.create_task(self.new.joining.run()))
+        self.serving.append(asyncio.create_task(self.new.check.run()))
 
     async def asyncTearDown(self) -> None:
         """Close everything."""
@@ -89,7 +89,7 @@
 
     async def asked(self) -> None:
         """Let the new host ask some times."""
-        await asyncio.sleep(5 * joining_module.ASK_INTERVAL)
+        await asyncio.sleep(5 * check_module.ASK_INTERVAL)
 
     async def test_all_see_the_new_host(self) -> None:
         """Act at once when nobody acts by a view without this host."""
@@ -111,7 +111,7 @@
         """Wait for a lease where a host is lost or cut off, and act then."""
         self.others[0].see(self.new)
         self.others[1].server.close()
-        await asyncio.sleep(3 * joining_module.ASK_TIMEOUT)
+        await asyncio.sleep(3 * check_module.ASK_TIMEOUT)
         self.assertFalse(self.new.tenure.acts)
         self.new.now += 1.1 * LEASE
         self.new.tenure.viewed(self.new.now)
@@ -121,6 +121,6 @@
         """Wait while others see an earlier process of this host, which has ended."""
         for other in self.others:
             other.see(self.new)
-        self.new.joining._writer = WriterId("later")
+        self.new.check._writer = WriterId("later")
         await self.asked()
         self.assertFalse(self.new.tenure.acts)
--- a/sequoiaarch/tests/fleet/growth_tests.py
+++ b/sequoiaarch/tests/fleet/scaling_tests.py
@@ -12,10 +12,10 @@
 
 from ...fleet import ranking
 from ...fleet.claims import SLOTS, Claims, slot_name
-from ...fleet.delegates import Delegates
+from ...fleet.delegates import DelegateSelector
+from ...fleet.peer_health import PeerHealth
 from ...fleet.peers import PeerRecord, Peers
-from ...fleet.slot_claimer import Claiming
-from ...fleet.standing import Standing
+from ...fleet.slot_claimer import SlotClaimer
 from ...ids import DataCentre, HostName, Offset, ProgramId, WriterId
 from ...ledger.loans import LoanBook
 from ...ledger.split import PartLent
@@ -47,14 +47,14 @@
         records = [self._record(number) for number in range(size)]
         self.peers.replace(records)
         self.claims = Claims()
-        self.standing = Standing()
-        self.claiming = Claiming(
+        self.peer_health = PeerHealth()
+        self.claimer = SlotClaimer(
             writer=writer_of(0),
             own=OWN,
             peers=self.peers,
             book=LoanBook(split=PartLent()),
             claims=self.claims,
-            standing=self.standing,
+            peer_health=self.peer_health,
         )
 
     def _record(self, number: int) -> KeyedRecord:
@@ -87,7 +87,7 @@
         for size in SIZES:
             host = _Host(size=size)
             counting = self.counted()
-            claimed = host.claiming._to_claim()
+            claimed = host.claimer._slots_to_claim()
             with self.subTest(size=size):
                 looked = counting.call_count
                 own = len(claimed) * size
@@ -98,7 +98,7 @@
         """Agree with what a ranking of all hosts for a slot says."""
         host = _Host(size=30)
         hosts = [HostName(f"h{number}") for number in range(30)]
-        claimed = set(host.claiming._to_claim())
+        claimed = set(host.claimer._slots_to_claim())
         for slot in range(SLOTS):
             name = slot_name(slot)
             first = max(hosts, key=partial(ranking.score, name))
@@ -108,18 +108,22 @@
         """Find a program's delegate without ranking until hosts change."""
         for size in SIZES:
             host = _Host(size=size)
-            delegates = Delegates(own=OWN, peers=host.peers, standing=host.standing)
+            delegates = DelegateSelector(
+                own=OWN, peers=host.peers, peer_health=host.peer_health
+            )
             programs = [ProgramId(f"p{number}") for number in range(2000)]
             for program in programs:
-                delegates.of(program)
+                delegates.delegate_of(program)
             counting = self.counted()
-            found = {delegates.of(program) for program in programs}
+            found = {delegates.delegate_of(program) for program in programs}
             with self.subTest(size=size):
                 self.assertEqual(counting.call_count, 0)
                 # A data centre of 108 hosts has less than five slots for each.
                 self.assertGreaterEqual(len(found), 0.9 * size // DATA_CENTRES)
             host.peers.change(KeyedRecord(key="h5", value=b""))
-            self.assertNotIn("h5", {delegates.of(program) for program in programs})
+            self.assertNotIn(
+                "h5", {delegates.delegate_of(program) for program in programs}
+            )
             mock.patch.stopall()
 
     async def test_loan_sorts_no_claims(self) -> None:
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -55,7 +55,7 @@
         """Take a report."""
         assert isinstance(request, TargetReport)
         self.heard += 1
-        return self.reports.take(request)
+        return self.reports.receive(request)
 
     def fail(self) -> None:
         """Have a request to the target fail here."""
