--- a/sequoiaarch/fleet/__init__.py
+++ b/sequoiaarch/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Know the other ingress daemons and work through them."""
+"""Coordinate the ingress daemons of all hosts."""
--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -1,4 +1,4 @@
-"""Give each process its place among the lenders of programs."""
+"""Derive the order of each slot's lenders from the claims in the log."""
 
 from __future__ import annotations
 
@@ -16,30 +16,28 @@
 log = logbook.Logger("lenders")
 
 TOPIC = "keyed.lenders"
-# Programs fall into so many slots, each with lenders of its own: enough that 38
-# processes have about the same share, and one record names all slots of one.
+# Programs are hashed into this many slots, each with its own lenders.
 SLOTS = 512
-# A process lends only if it has seen its claim and its own registration in the
-# store within this time. It has to outlast the outages in which lending helps,
-# which take seconds. Seconds.
+# A process lends only if it saw its claim and its registration in the store within
+# this time. Outlasts the short store outages that loans bridge. Seconds.
 LENDING_LEASE = 60.0
-# Beyond the lease and the longest retention, before a claim is removed: what a
-# program may take to come back and to end. Seconds.
+# Added to the lease and the longest retention before a claim expires, for programs
+# that resume late. Seconds.
 EXPIRY_MARGIN = 60.0
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True, tag="claim"):
-    """Say that a process lends to the programs of some slots."""
+    """Claim of a process to lend to the programs of some slots."""
 
     writer: WriterId
     slots: tuple[int, ...]
 
 
 class CarriedRecord(msgspec.Struct, frozen=True, kw_only=True, tag="carried"):
-    """Say what a process that stopped had lent, by program.
+    """Tokens that a stopped process had lent, by program.
 
-    It took its claims back with the same append. Whoever lends to one of these
-    programs now counts that much as lent, so nothing is lent twice.
+    Written in the same append that removes its claims. Later lenders of these
+    programs count these tokens as lent, so that nothing is lent twice.
     """
 
     writer: WriterId
@@ -51,7 +49,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Claim:
-    """Hold a claim with its place in the log."""
+    """A claim with its key and offset in the log."""
 
     key: str
     record: ClaimRecord
@@ -60,7 +58,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class SlotLender:
-    """Name a lender of a slot; each place has a part of the budget of its own."""
+    """Lender of a slot; each rank may lend its own part of a budget."""
 
     writer: WriterId
     rank: int
@@ -72,28 +70,27 @@
 
 
 def slot_name(slot: int) -> str:
-    """Return the name by which processes rank for a slot."""
+    """Return the rendezvous key of a slot."""
     return f"slot/{slot}"
 
 
 class Claims:
-    """Hold all claims in the order of the log, from which the places follow.
+    """All slot claims, in the order of the log.
 
-    Nobody is ever put out of a place: a lender that is dead, frozen or cut off
-    keeps its part, and one that follows it has the next, smaller part. So two
-    processes may lend to a program at once, or wake after a pause, without
-    handing out the same tokens. A view that lags shows a place that is too
-    high, never one too low, since claims are added at the end.
+    A lender keeps its rank even if it is dead, frozen or partitioned; its successor
+    gets the next rank with a smaller part of the budget. Several processes can
+    therefore lend to one program without handing out the same tokens. Claims are
+    appended, so a stale view never shows a lender at a rank that is too low.
     """
 
     def __init__(self) -> None:
         self._claims: dict[str, Claim] = {}
         self._carried: dict[str, CarriedRecord] = {}
-        # The lenders of each slot; made anew after a change.
+        # Lenders by slot; None after a change.
         self._lenders: dict[int, list[SlotLender]] | None = None
 
     def replace(self, records: Sequence[ListedRecord]) -> None:
-        """Take over the complete list."""
+        """Replace all claims by a complete list."""
         self._claims.clear()
         self._carried.clear()
         self._lenders = None
@@ -101,60 +98,60 @@
             self.change(record)
 
     def change(self, record: ListedRecord) -> None:
-        """Take over one claim, or its removal."""
+        """Apply one record: a claim, carried loans, or a removal."""
         self._claims.pop(record.key, None)
         self._carried.pop(record.key, None)
         self._lenders = None
         if not record.value:
             return
         try:
-            found: LenderRecord = msgspec.json.decode(record.value, type=LenderRecord)
+            decoded: LenderRecord = msgspec.json.decode(record.value, type=LenderRecord)
         except msgspec.DecodeError as error:
-            log.warning("claim {} can't be read: {}", record.key, error)
+            log.warning("cannot decode claim {}: {}", record.key, error)
             return
-        if isinstance(found, CarriedRecord):
-            self._carried[record.key] = found
+        if isinstance(decoded, CarriedRecord):
+            self._carried[record.key] = decoded
             return
         self._claims[record.key] = Claim(
-            key=record.key, record=found, offset=record.offset
+            key=record.key, record=decoded, offset=record.offset
         )
 
     def carried(self, program: ProgramId) -> int:
-        """Return what processes that stopped had lent of a program."""
-        return sum(one.tokens.get(program, 0) for one in self._carried.values())
+        """Return the tokens of a program that stopped processes had lent."""
+        return sum(loans.tokens.get(program, 0) for loans in self._carried.values())
 
     def keys_of(self, writer: WriterId) -> list[str]:
         """Return the keys of a process's claims."""
-        return [one.key for one in self.all() if one.record.writer == writer]
+        return [claim.key for claim in self.all() if claim.record.writer == writer]
 
     def writers(self) -> dict[str, WriterId]:
-        """Return the process of each record."""
-        found = {key: one.record.writer for key, one in self._claims.items()}
-        found.update((key, one.writer) for key, one in self._carried.items())
-        return found
+        """Return the writer of each record, by its key."""
+        writers = {key: claim.record.writer for key, claim in self._claims.items()}
+        writers.update((key, loans.writer) for key, loans in self._carried.items())
+        return writers
 
     def all(self) -> list[Claim]:
         """Return all claims in the order of the log."""
-        return sorted(self._claims.values(), key=lambda one: one.offset)
+        return sorted(self._claims.values(), key=lambda claim: claim.offset)
 
     def lenders_of(self, slot: int) -> list[SlotLender]:
-        """Return the lenders of a slot, the first one first."""
+        """Return the lenders of a slot, by rank."""
         if self._lenders is None:
             self._lenders = self._by_slot()
         return self._lenders.get(slot, [])
 
     def _by_slot(self) -> dict[int, list[SlotLender]]:
-        """Return the lenders of each slot, which loans ask for far more often."""
-        found: dict[int, list[SlotLender]] = {}
+        """Return the lenders of every slot, by rank."""
+        by_slot: dict[int, list[SlotLender]] = {}
         for claim in self.all():
             for slot in set(claim.record.slots):
-                lenders = found.setdefault(slot, [])
+                lenders = by_slot.setdefault(slot, [])
                 lender = SlotLender(writer=claim.record.writer, rank=len(lenders))
                 lenders.append(lender)
-        return found
+        return by_slot
 
     def unclaimed(self, live: Callable[[WriterId], bool]) -> list[int]:
-        """Return the slots that no living process lends to."""
+        """Return the slots without a claim of a live process."""
         claimed: set[int] = set()
         for claim in self._claims.values():
             if live(claim.record.writer):
@@ -163,12 +160,11 @@
 
 
 class ClaimExpiry:
-    """Say which claims can no longer matter, so that places don't run out.
+    """Decides which claims of ended processes can be removed.
 
-    A claim may go when its process can't lend any more and no program that it
-    lent to can come back. Its process stops a lease after it saw itself
-    registered for the last time; this one counts from when it saw that the
-    registration had gone, so from later.
+    A claim expires when its process can no longer lend and no program that borrowed
+    from it can resume. A process stops lending one lease after it last saw its own
+    registration; the wait here starts later, when the registration is seen gone.
     """
 
     def __init__(self, *, clock: Callable[[], float] = time.monotonic) -> None:
@@ -181,9 +177,9 @@
         live: Callable[[WriterId], bool],
         retention: float,
     ) -> list[str]:
-        """Return the keys of records to remove, of which the processes are known.
+        """Return the keys of records that can be removed.
 
-        `retention` is the longest one.
+        `retention` is the longest retention of any turn, in seconds.
         """
         now = self._clock()
         gone = {key for key, writer in writers.items() if not live(writer)}
--- a/sequoiaarch/fleet/delegate_calls.py
+++ b/sequoiaarch/fleet/delegate_calls.py
@@ -1,4 +1,4 @@
-"""Ask a delegate, which says at once that it works on a request."""
+"""Send requests to delegates, which acknowledge them before they work on them."""
 
 from __future__ import annotations
 
@@ -15,10 +15,9 @@
 )
 from .turn_server import failure_reply
 
-# A delegate says at once that it works on a request. One that does not within
-# this time is dead, frozen or overloaded; a turn takes about 0.25 s. Seconds.
+# Timeout for the acknowledgement, which a healthy delegate sends at once. Seconds.
 FIRST_REPLY_TIMEOUT = 0.1
-# What follows waits for the store, which may be slow. Seconds.
+# Timeout between later replies, which may wait for a slow store. Seconds.
 NEXT_REPLY_TIMEOUT = 1.5
 
 
@@ -31,7 +30,7 @@
     *,
     first_reply_timeout: float = FIRST_REPLY_TIMEOUT,
 ) -> Reply:
-    """Return the last reply, if the first one comes soon enough."""
+    """Return the last reply to a request, or a failure if a reply is late."""
     replies = link.stream(request)
     last: Reply = failure_reply("no reply")
     try:
@@ -45,5 +44,5 @@
 
 
 def failure_reason(reply: Reply) -> str:
-    """Return why a request was not carried out."""
+    """Return why a request was not carried out, for logs."""
     return reply.failure.reason if isinstance(reply, Failed) else str(reply)
--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -1,4 +1,4 @@
-"""Hold a turn whose account another process keeps."""
+"""A turn whose budget account is kept by another process."""
 
 from __future__ import annotations
 
@@ -30,37 +30,37 @@
 )
 from .delegate_calls import call_delegate
 
-# A stream bears a longer pause than its beginning, and what a delegate has granted
-# is lost with it. Seconds.
+# Longer than for other requests: a running stream tolerates a pause, and giving up
+# on the delegate loses the tokens that it granted. Seconds.
 COVER_FIRST_REPLY_TIMEOUT = 0.4
 
 
 class TurnManager(Protocol):
-    """Open turns through delegates, and go on here where one is lost."""
+    """What a delegated turn needs from the process that opened it."""
 
     @property
     def ledger(self) -> Ledger:
         """Return the ledger of this process."""
 
     async def reserve_locally(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
-        """Reserve a turn here whose delegate was lost; its history is known."""
+        """Reserve tokens in this process for a turn whose delegate was lost."""
 
     def delegate_lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
-        """Note that a delegate was lost with a turn open."""
+        """Record that a delegate failed while a turn was open."""
 
     def report_end(
         self, link: Link, opening: OpeningId, lifetime: float, *, handed: int
     ) -> None:
-        """Tell a delegate the end of a turn, without waiting for its reply."""
+        """Report the end of a turn to its delegate in the background."""
 
 
 class DelegatedTurn:
-    """Hold a turn whose account another process keeps.
+    """A turn whose budget account is kept by another process, its delegate.
 
-    If that one is lost, the turn goes on here: tokens are reserved once more
-    by this process, and the turn is written by it. The other one is told how much
-    went out under its grant, in case it was only late. If that never reaches it,
-    all that the turn was covered for there counts as handed out, which is safe.
+    If the delegate is lost, this process reserves the tokens again and writes the
+    turn itself. It reports to the delegate how many tokens went out under its grant,
+    in case the delegate was only slow. If that report is lost, the delegate counts
+    the whole grant as used, so the budget is never exceeded.
     """
 
     def __init__(
@@ -82,32 +82,32 @@
         self._handed = 0
         self._covered = opened.covered
         self._ended = False
-        # Whether the delegate knows that it holds the turn for nobody, or is being
-        # told; the turn itself may go on here.
+        # The delegate no longer holds the turn, or is being told so. The turn itself
+        # may continue in this process.
         self._end_reported = False
         self._fallback: LocalTurn | None = None
         self._announced: asyncio.Future[Offset] | None = None
 
     @property
     def history(self) -> History | None:
-        """Return what the turn continues; None at the start of a chain."""
+        """Return the history that the turn continues; None for a first turn."""
         return self._opened.history
 
     @property
     def spent(self) -> int:
-        """Return the tokens that the program had used before."""
+        """Return the tokens that the program had used before this turn."""
         return self._opened.spent
 
     @property
     def where(self) -> str:
-        """Return which process keeps the account, for the log."""
+        """Return which process keeps the account, for logs."""
         if self._fallback is not None:
             return f"{self._fallback.where} after all"
         part = "" if self._covered is None else f", {self._covered} held"
         return f"at {self._host}{part}"
 
     async def verdict(self) -> BudgetVerdict:
-        """Wait until it is known whether the turn is granted."""
+        """Wait until the turn is granted or refused."""
         if self._fallback is not None:
             return await self._fallback.verdict()
         if self._opened.granted:
@@ -130,17 +130,17 @@
         return await fallback.verdict()
 
     def announce(self) -> None:
-        """Write the program of the turn beside its run."""
+        """Start writing the turn's program to the index."""
         self._announced = self._turns.ledger.announce(self._start.terms)
 
     def covers(self, tokens: int) -> bool:
-        """Return whether so many more tokens may go to the caller unasked."""
+        """Return whether the grant covers this many more tokens."""
         if self._fallback is not None:
             return self._fallback.covers(tokens)
         return self._covered is None or self._handed + tokens <= self._covered
 
     async def cover(self, tokens: int) -> bool:
-        """Ask for so many more tokens; return whether they may go to the caller."""
+        """Extend the grant if needed; return whether it covers the tokens."""
         if self._fallback is not None:
             return await self._fallback.cover(tokens)
         if self.covers(tokens):
@@ -152,7 +152,7 @@
         return fallback is not None and await fallback.cover(tokens)
 
     async def _cover_at_delegate(self, tokens: int) -> bool | None:
-        """Ask the delegate for more; None where it is lost."""
+        """Ask the delegate to extend its grant; None if the delegate is lost."""
         request = CoverTurnRequest(
             opening=self._opening,
             total=self._handed + tokens,
@@ -164,20 +164,18 @@
         if isinstance(reply, TurnCovered):
             self._covered = reply.covered
             return True
-        # The turn's end can overtake this request, which then finds it not open there:
-        # a delegate that is well would be passed over, and a rest reserved for nobody.
+        # The end of the turn can overtake this request. The failure then says nothing
+        # about the delegate's health, and nothing is left to reserve.
         if self._ended or isinstance(reply, TurnRefused):
             return False
         self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
         return None
 
     async def _fall_back(self) -> LocalTurn | None:
-        """Reserve the rest of the turn here, as its delegate was lost midway.
+        """Reserve the rest of the turn in this process, as its delegate is lost.
 
-        A delegate that only was slow hears what was handed out under its grant.
-        What it still claims for this turn may leave no room until it has
-        returned that or is known to be lost; the stream waits for it. Else it
-        would be cut at once where little is left of the budget.
+        The grant of the old delegate may leave no room in a small budget until it is
+        returned or written off. The stream waits for that instead of being cut.
         """
         self._report_end()
         terms = self._start.terms
@@ -193,27 +191,27 @@
         return None
 
     async def _accept(self, fallback: LocalTurn) -> bool:
-        """Return whether the turn can go on with what was taken, or give it back."""
+        """Return whether the turn can use a reservation; close it otherwise."""
         accepted = False
         try:
             fits = await fallback.verdict() is BudgetVerdict.FITS
             accepted = fits and not self._ended
         finally:
-            # The end of the turn closes only what is in use. Left open by a caller that
-            # leaves, this would be missing from the budget for good.
+            # The end of the turn closes only the reservation in use. An unused one that
+            # stays open when the caller leaves would block its part of the budget.
             if not accepted:
                 fallback.close()
         return accepted
 
     def hand_out(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
+        """Count tokens sent to the caller."""
         if self._fallback is not None:
             self._fallback.hand_out(tokens)
         else:
             self._handed += tokens
 
     async def commit(self, given: bytes, produced: bytes) -> None:
-        """Make the turn part of the history; return once that is durable."""
+        """Append the turn to the history; return when that is durable."""
         self._ended = True
         content = content_of(self._start, self.history, given, produced)
         if self._fallback is not None:
@@ -224,14 +222,14 @@
             await self._announced
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Return unused tokens; idempotent."""
         self._ended = True
         if self._fallback is not None:
             self._fallback.close()
         self._report_end()
 
     def _report_end(self) -> None:
-        """Tell the delegate what was handed out under its grant, once."""
+        """Report to the delegate what was used of its grant, once."""
         if self._end_reported:
             return
         self._end_reported = True
@@ -249,6 +247,6 @@
             self._end_reported = True
             return
         self._report_end()
-        # It may have been written there too: the same record under the same key.
+        # The delegate may have written it too; the record and its key are the same.
         self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
         await self._turns.ledger.write(terms, content)
--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -1,4 +1,4 @@
-"""Keep the accounts of programs in one process of each data centre."""
+"""Open turns through the delegate that keeps a program's account."""
 
 from __future__ import annotations
 
@@ -34,22 +34,21 @@
 
 log = logbook.Logger("delegates")
 
-# A delegate that hears that a turn goes on elsewhere returns what it holds for it
-# with one append. Seconds.
+# A late delegate needs one append to release a turn that continues elsewhere.
+# Seconds.
 HELD_RETRY_PERIOD = 0.4
 HELD_RETRY_INTERVAL = 0.1
 
 
 class DelegateSelector:
-    """Choose the process that keeps a program's account, by rendezvous.
+    """Chooses the process that keeps a program's account, by rendezvous hashing.
 
-    The turns of a program come through all gateways of a data centre. Each
-    would read the program's records and have tokens granted to itself, and
-    while the store is away could do neither. One that keeps the account has
-    the history in memory and knows what was granted.
+    Turns of one program arrive at all gateways of a data centre. The delegate keeps
+    the history and the grants in memory, so that the others need not read the log
+    and turns continue while the store is down.
 
-    It has no authority: the log decides what counts, so two delegates at once,
-    or none, cost calls and nothing else.
+    The log remains authoritative: two delegates at once, or none, only cost extra
+    calls.
     """
 
     def __init__(self, *, own: HostName, peers: Peers, peer_health: PeerHealth) -> None:
@@ -62,21 +61,21 @@
 
     def delegate_of(self, program: ProgramId) -> HostName | None:
         """Return the delegate of a program; None for this process."""
-        # By slots like lenders: in one data centre of three the two are the same.
+        # The same slots as for lenders, so that delegate and lender often coincide.
         for host in self._ranking.hosts_for(slot_of(program)):
             if host == self._own:
                 return None
-            if self.peer_health.available(host):
+            if self.peer_health.usable(host):
                 return host
         return None
 
     def link(self, host: HostName) -> Link | None:
-        """Return the link to a delegate; None if its address is gone."""
+        """Return the link to a delegate; None if it is not registered."""
         return self._peers.link(host)
 
 
 class DelegatedTurns:
-    """Open turns through the delegate of their program, or else here."""
+    """Opens turns through the delegate of their program, or locally without one."""
 
     def __init__(
         self,
@@ -92,7 +91,7 @@
         self._numbers = itertools.count(1)
 
     async def open(self, start: TurnStart) -> OpenTurn | TurnRefusal:
-        """Reserve a turn and find its history, or say why not."""
+        """Reserve a turn and load its history, or return why not."""
         host = self._delegates.delegate_of(start.terms.program)
         if host is not None:
             opened = await self._open_at(host, start)
@@ -100,11 +99,10 @@
         return await self._local.open(start)
 
     async def _open_here(self, start: TurnStart) -> LocalTurn | TurnRefusal:
-        """Open a turn here that its delegate did not.
+        """Open a turn in this process after its delegate failed to.
 
-        If the delegate was only late it holds the budget for the same turn until it
-        hears of the end. Through a delegate that stays slow each try of a caller
-        would be refused for what its own try holds.
+        Retries for a moment while the budget is held: a delegate that was only late
+        holds it for this very turn until it receives the end.
         """
         deadline = asyncio.get_running_loop().time() + HELD_RETRY_PERIOD
         while True:
@@ -117,7 +115,7 @@
     async def _open_at(
         self, host: HostName, start: TurnStart
     ) -> OpenTurn | TurnRefusal | None:
-        """Ask a delegate; None where this process has to find out itself."""
+        """Open a turn at its delegate; None if this process has to open it."""
         link = self._delegates.link(host)
         if link is None:
             return None
@@ -127,7 +125,7 @@
                 link, OpenTurnRequest(opening=opening, start=start)
             )
         except asyncio.CancelledError:
-            # The caller left: what the delegate reserved must not count.
+            # The caller left; release what the delegate may have reserved.
             self.report_end(link, opening, start.lifetime, handed=0)
             raise
         if isinstance(reply, TurnOpened):
@@ -143,9 +141,8 @@
         if isinstance(reply, TurnRefused):
             self._delegates.peer_health.record_success(host)
             return _definite_refusal(reply)
-        # It may open the turn yet. What it then holds has no user: it would stand
-        # in the way of this program until the turn's time is over, and count as
-        # handed out from then on.
+        # The delegate may still open the turn. Without this report it would hold the
+        # tokens for the turn's lifetime and then count them as used.
         self.report_end(link, opening, start.lifetime, handed=0)
         self._record_open_failure(host, start, reply)
         return None
@@ -153,7 +150,7 @@
     def _record_open_failure(
         self, host: HostName, start: TurnStart, reply: Reply
     ) -> None:
-        """Note that a delegate did not open a turn."""
+        """Record that a delegate failed to open a turn."""
         self._delegates.peer_health.record_failure(host, failure_reason(reply))
         log.info(
             "turn {} of {} goes on here, as {} did not open it: {}",
@@ -166,29 +163,28 @@
     def report_end(
         self, link: Link, opening: OpeningId, lifetime: float, *, handed: int
     ) -> None:
-        """Tell a delegate the end of a turn, without waiting for its reply.
+        """Report the end of a turn to its delegate in the background.
 
-        It holds the turn for its lifetime unless it is told, so that long this is
-        worth a retry.
+        Retries for the turn's lifetime in seconds, as long as the delegate holds it.
         """
         request = CloseTurnRequest(opening=opening, handed=handed)
         self._notifier.notify(link, request, retry_for=lifetime)
 
     def _next_opening(self) -> OpeningId:
-        """Return a name that nobody uses again.
+        """Return a unique id for one attempt to open a turn.
 
-        Callers may use the id of a turn twice. An end that is told again would end
-        the later one, which goes on: more than its budget would be handed out.
+        Callers may reuse turn ids. A repeated end report for one attempt must not
+        close a later one.
         """
         return OpeningId(f"{self._ledger.writer}/{next(self._numbers)}")
 
     async def reserve_locally(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
-        """Reserve a turn here whose delegate was lost; its history is known."""
+        """Reserve tokens in this process for a turn whose delegate was lost."""
         return await self._local.take(start, None)
 
     def delegate_lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
-        """Note that a delegate was lost with a turn open."""
-        log.info("turn {} is lost at {}: {}", turn, host, failure_reason(reply))
+        """Record that a delegate failed while a turn was open."""
+        log.info("turn {} lost its delegate {}: {}", turn, host, failure_reason(reply))
         self._delegates.peer_health.record_failure(host, failure_reason(reply))
 
     @property
@@ -198,8 +194,8 @@
 
 
 def _definite_refusal(reply: TurnRefused) -> TurnRefusal | None:
-    """Return why a delegate refused a turn; None where it can't tell."""
-    # What it can't tell, this process may reach the store for.
+    """Return why a delegate refused a turn; None if it was uncertain."""
+    # Where the delegate is uncertain, this process may still reach the store.
     if reply.lookup is Lookup.ABSENT:
         return reply.lookup
     unsure = reply.verdict in (None, BudgetVerdict.UNCERTAIN)
--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""Put together what one gateway does with the others and for them."""
+"""Assemble what one gateway shares with the other gateways."""
 
 from __future__ import annotations
 
@@ -43,17 +43,17 @@
 from .target_reports import TargetReports
 from .turn_server import TurnServer
 
-# Claims change when processes start and stop. A connection that has fallen silent
-# hides a change for this long, which costs a request to a lender that has left.
-# Seconds.
+# Long-poll time for claims, which change only when processes start and stop. A dead
+# connection hides a change for as long. Seconds.
 CLAIMS_READ_WAIT = 10.0
 
 
 class QuotaOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what workspaces are held to.
+    """Rate limits of workspaces and how they are enforced.
 
-    A process keeps shares of limits by a view of the fleet that is at most `lease`
-    seconds old, and reads registrations for up to `wait` seconds at a time.
+    A process keeps shares of limits only while its view of the registrations is at
+    most `lease` seconds old. It polls registrations for up to `wait` seconds at a
+    time.
     """
 
     of: Callable[[Workspace], RateLimit | None]
@@ -63,7 +63,7 @@
 
 
 class Fleet:
-    """Hold one gateway's part in the fleet: registration, accounts, loans, limits."""
+    """One gateway's registration, budget accounts, loans and rate limits."""
 
     def __init__(
         self,
@@ -163,7 +163,10 @@
     def background_tasks(
         self, retention: Callable[[], float]
     ) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs for ever; `retention` is the longest one of turns."""
+        """Return the coroutines that run for ever.
+
+        `retention` returns the longest retention of any turn, in seconds.
+        """
         return [
             *(follower.follow() for follower in self._followers),
             self._peers.register(self._log, self._writer),
@@ -172,7 +175,7 @@
         ]
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Answer another gateway."""
+        """Handle a request of another gateway."""
         if isinstance(request, LendRequest | SettleRequest):
             return self._loan_service.answer(request)
         if isinstance(request, TargetReport):
@@ -184,17 +187,17 @@
         return await self._server.answer(request, send)
 
     def refuse_new(self) -> None:
-        """Open no more turns for others, as this process is to stop."""
+        """Refuse to open turns for other gateways, ahead of a shutdown."""
         self._server.stopping = True
 
     async def leave(self) -> None:
-        """Take back claims and registration."""
+        """Remove the claims and the registration of this process."""
         await self._claimer.stop(self._log)
         self.tenure.cease()
         await self._peers.unregister(self._log, self._writer)
 
     def _seen_from(self) -> float:
-        """Return since when claims and registrations are known, in boot time."""
+        """Return the boot time as of which claims and registrations are known."""
         return min(follower.seen_from for follower in self._followers)
 
     def _replace_peers(self, records: Sequence[KeyedRecord]) -> None:
@@ -219,7 +222,7 @@
             self.tenure.registered(own=writer == self._writer, ordered=ordered)
 
     def _keeps_share(self, workspace: Workspace, share: int) -> bool:
-        """Return whether a share of a workspace's limit is kept here."""
+        """Return whether this process keeps a share of a workspace's limit."""
         keepers = self._keepers.of(workspace)
         ranked = share < len(keepers) and keepers[share] == self._own
         return ranked and self.tenure.acts
--- a/sequoiaarch/fleet/loan_service.py
+++ b/sequoiaarch/fleet/loan_service.py
@@ -1,4 +1,4 @@
-"""Cover turns from a part of their budget that no log has to grant."""
+"""Lend budget tokens to turns while the log can't grant them."""
 
 from __future__ import annotations
 
@@ -24,19 +24,17 @@
 from .slot_claimer import SlotClaimer
 from .turn_server import failure_reply
 
-# A lender answers from memory. One that doesn't within this time is dead,
-# frozen or overloaded. Seconds.
+# Lenders answer from memory. Seconds.
 ASK_TIMEOUT = 0.15
-# A lender that does not hear of the end of a loan counts it in full for as long as
-# its program may come back; one that is frozen or cut off for a while hears it in
-# this time. Seconds.
+# Retries settlements over short freezes and partitions: an unsettled loan counts in
+# full for the program's retention. Seconds.
 SETTLE_RETRY_PERIOD = 30.0
-# Lenders of a program that are asked; those after the second have too little.
+# Lenders of higher rank have too few tokens to be worth a request.
 MAX_LENDERS_ASKED = 2
 
 
 class Loan:
-    """Hold tokens that a lender covers a turn with."""
+    """Tokens that a lender provides for a turn."""
 
     def __init__(
         self, *, loan: LoanId, terms: TurnTerms, tokens: int, lenders: LoanService
@@ -50,50 +48,50 @@
 
     @property
     def by_log(self) -> bool:
-        """Return False: a lender covers it."""
+        """Return False: the tokens come from a lender, not from the log."""
         return False
 
     @property
     def granted(self) -> bool:
-        """Return True: a loan needs no further verdict."""
+        """Return True: a loan needs no further confirmation."""
         return True
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be handed out unasked."""
+        """Return the tokens that may be used without asking for more."""
         return self._tokens
 
     async def verdict(self) -> BudgetVerdict:
-        """Return that the turn may begin."""
+        """Return that the turn fits its budget."""
         return BudgetVerdict.FITS
 
     async def cover(self, total: int) -> bool:
-        """Return whether so many tokens may be handed out, or ask for more."""
+        """Increase the loan if needed; return whether it covers `total` tokens."""
         if total > self._tokens and not self._closed:
             increased = await self._lenders.increase(self._loan, self.terms)
-            # A raise without an answer gives 0: the turn would lose what it has, and a
-            # lost gateway count at less than it may have used. A loan only ever grows.
+            # A request that fails yields 0, but a loan never shrinks: what was lent
+            # may have been used already.
             self._tokens = max(self._tokens, increased)
-        # A stream that waits may outlast its turn. Nobody knows the lender of a settled
-        # loan, so asking would fail with an error, and what goes out is not counted.
+        # A waiting stream may outlast its turn. A settled loan has no lender any more
+        # and must not cover further tokens.
         return not self._closed and total <= self._tokens
 
     def hand_out(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
+        """Count tokens sent to the caller."""
         self._handed += tokens
 
     def close(self) -> None:
-        """Settle the loan; a second time does nothing."""
+        """Settle the loan; idempotent."""
         if not self._closed:
             self._closed = True
             self._lenders.settle(self._loan, self.terms, self._handed)
 
 
 class LoanService:
-    """Lend to other processes, and borrow from them.
+    """Lends budget tokens to other processes and borrows from them.
 
-    While the store is away no grant can be written, and a program that begins
-    or goes on then would be refused until it gives up.
+    Programs can start and continue on loans while the store is down and no grant can
+    be written.
     """
 
     def __init__(
@@ -119,12 +117,12 @@
         self._notifier = Notifier(timeout=RETRY_TIMEOUT)
 
     async def borrow(self, terms: TurnTerms, *, least: int) -> Loan | None:
-        """Return a loan of `least` tokens or more; None where there is none."""
+        """Return a loan of at least `least` tokens; None if no lender grants one."""
         request = LendRequest(loan=self._next_loan(), terms=terms, least=least)
         asked = 0
         for lender in self._claims.lenders_of(slot_of(terms.program)):
             host = self._claimer.host(lender.writer)
-            if host is None or not self._peer_health.available(host):
+            if host is None or not self._peer_health.usable(host):
                 continue
             tokens = await self._borrow_from(host, request)
             if tokens:
@@ -135,7 +133,7 @@
         return None
 
     async def increase(self, loan: LoanId, terms: TurnTerms) -> int:
-        """Ask for more on a loan; return the tokens that it has then."""
+        """Ask the lender to increase a loan; return its tokens, 0 on failure."""
         link = self._lender_links[loan]
         request = LendRequest(loan=loan, terms=terms, least=0)
         if link is None:
@@ -144,7 +142,7 @@
         return reply.tokens if isinstance(reply, Lent) else 0
 
     def settle(self, loan: LoanId, terms: TurnTerms, handed: int) -> None:
-        """Tell the lender what was handed out, without waiting for its reply."""
+        """Report the used tokens of a loan to its lender in the background."""
         link = self._lender_links.pop(loan)
         if link is None:
             self._book.settle(loan, terms.program, handed)
@@ -152,19 +150,19 @@
             self._send_settlement(link, loan, terms, handed)
 
     def answer(self, request: Request) -> Reply:
-        """Answer a borrower."""
+        """Handle a request of a borrower."""
         if isinstance(request, LendRequest):
             return Lent(tokens=self._lend(request))
         if isinstance(request, SettleRequest):
             self._book.settle(request.loan, request.program, request.handed)
             return Accepted()
-        return failure_reply(f"not for this part: {request}")
+        return failure_reply(f"unexpected request for a lender: {request}")
 
     def _next_loan(self) -> LoanId:
         return LoanId(f"{self._writer}/{next(self._numbers)}")
 
     async def _borrow_from(self, host: HostName, request: LendRequest) -> int:
-        """Return what a host lends, and remember where the loan is if it does."""
+        """Request a loan from a host; return its tokens and record the lender."""
         if host == self._own:
             tokens = self._lend(request)
             if tokens:
@@ -179,7 +177,7 @@
             self._send_settlement(link, request.loan, request.terms, 0)
             raise
         if not isinstance(reply, Lent):
-            # It may have lent although its answer didn't come: return it all.
+            # The tokens may have been lent although the reply was lost: return all.
             self._peer_health.record_failure(host, str(reply))
             self._send_settlement(link, request.loan, request.terms, 0)
             return 0
--- a/sequoiaarch/fleet/notifier.py
+++ b/sequoiaarch/fleet/notifier.py
@@ -1,4 +1,4 @@
-"""Tell other hosts what no caller waits for."""
+"""Send requests to other hosts in the background."""
 
 from __future__ import annotations
 
@@ -11,24 +11,23 @@
 
 log = logbook.Logger("peers")
 
-# For what is told again. Longer than it takes to find a link silent, so that the
-# next try has a new one. Seconds.
+# Timeout of requests that are retried. Exceeds the silence limit of a link, so that
+# the next attempt uses a new connection. Seconds.
 RETRY_TIMEOUT = 2.0
 RETRY_INTERVAL = 0.1
 
 
 class Notifier:
-    """Send requests beside the caller's work, and hold them until they ended."""
+    """Sends requests as background tasks and keeps the tasks until they end."""
 
     def __init__(self, *, timeout: float) -> None:
         self._timeout = timeout
         self._tasks: set[asyncio.Task[None]] = set()
 
     def notify(self, link: Link, request: Request, *, retry_for: float = 0.0) -> None:
-        """Send a request, and again for `retry_for` seconds until it is answered.
+        """Send a request and retry it for `retry_for` seconds until it is accepted.
 
-        What must arrive is worth a retry: a message is lost with its connection.
-        That it did not arrive is only logged.
+        A request that is never accepted is only logged.
         """
         task = asyncio.create_task(self._send(link, request, retry_for))
         self._tasks.add(task)
@@ -44,4 +43,4 @@
             if loop.time() >= deadline:
                 break
             await asyncio.sleep(RETRY_INTERVAL)
-        log.info("{} was not told: {}", link.address, request)
+        log.info("{} did not accept {}", link.address, request)
--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -1,4 +1,4 @@
-"""Find the other daemons and make calls through them."""
+"""Track the registered daemons and relay store calls through them."""
 
 from __future__ import annotations
 
@@ -23,19 +23,19 @@
 
 TOPIC = "keyed.peers"
 PARTITION = Partition(topic=TOPIC, number=0)
-# A peer that has failed is asked last for this time. Seconds.
+# How long a failed peer is tried last. Seconds.
 DEPRIORITISE_SECONDS = 3.0
 MAX_PEERS_ASKED = 3
-# A peer that is frozen answers nothing; the call goes on to the next. Seconds.
+# Seconds.
 PEER_TIMEOUT = 0.5
 PEER_SILENCE_LIMIT = 1.0
 REGISTER_RETRY = 0.5
-# Others should soon know this process, whatever stood there before. Seconds.
+# How long registration waits for the first list of registrations. Seconds.
 FIRST_LIST_TIMEOUT = 1.0
 
 
 class PeerRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Say where a daemon is."""
+    """Registration of a daemon: its address, data centre and process."""
 
     address: str
     data_centre: DataCentre
@@ -43,7 +43,7 @@
 
 
 class Peers:
-    """Know the addresses of the other daemons and ask them to call the store."""
+    """Registered daemons, with links to them and a relay for store calls."""
 
     def __init__(
         self,
@@ -64,14 +64,14 @@
         self._known: dict[HostName, PeerRecord] = {}
         self._neighbours: list[HostName] = []
         self._hosts_by_writer: dict[WriterId, HostName] = {}
-        # Grows when a registration changes.
+        # Incremented when a registration changes.
         self.version = 0
-        # Grows when a host is registered that was not, or is no more.
+        # Incremented when the set of registered hosts changes.
         self.hosts_version = 0
         self._hosts_by_centre: dict[DataCentre, list[HostName]] = {}
         self._listed = asyncio.Event()
-        # Called with the process that this host's registration names, if there is
-        # one, and whether that was read right after what stood there before.
+        # Called with the writer in this host's registration, None without one, and
+        # whether it was read directly after the previous registration.
         self.on_own_registration: Callable[[WriterId | None, bool], None] = _ignore
         self._own_writer = WriterId("")
         self._deprioritised_until: dict[str, float] = {}
@@ -81,7 +81,7 @@
         return len(self._known)
 
     def replace(self, records: Sequence[KeyedRecord]) -> None:
-        """Take over the complete list."""
+        """Replace all registrations by a complete list."""
         self._known.clear()
         self._own_writer = WriterId("")
         for record in records:
@@ -91,60 +91,60 @@
         self._rebuild_indexes()
 
     def change(self, record: KeyedRecord) -> None:
-        """Take over one registration."""
+        """Apply one registration or its removal."""
         self._apply(record)
         if record.key == self._own:
             self._notify_own_registration(ordered=True)
         self._rebuild_indexes()
 
     def own_registration_is(self, writer: WriterId) -> bool:
-        """Return whether this host's registration is that of a process."""
+        """Return whether this host's registration names a process."""
         return self._own_writer == writer
 
     def host_of(self, writer: WriterId) -> HostName | None:
-        """Return the other host on which a process runs; None if it is gone."""
+        """Return the other host that a process runs on; None if unregistered."""
         return self._hosts_by_writer.get(writer)
 
     def hosts_by_centre(self) -> dict[DataCentre, list[HostName]]:
-        """Return all registered hosts, this one too, by their data centre."""
+        """Return all registered hosts by data centre, this one included."""
         return self._hosts_by_centre
 
     def has_registration(self, host: HostName, writer: WriterId) -> bool:
-        """Return whether another host's registration is that of a process."""
+        """Return whether another host's registration names a process."""
         record = self._known.get(host)
         return record is not None and record.writer == writer
 
     def hosts(self) -> list[HostName]:
-        """Return all other hosts that are known."""
+        """Return all other registered hosts."""
         return list(self._known)
 
     async def register(self, keyed_log: KeyedLog, writer: WriterId) -> None:
-        """Tell the others where this process is."""
+        """Write this process's registration, retrying until the store accepts it."""
         own = PeerRecord(
             address=self._own_address, data_centre=self._data_centre, writer=writer
         )
         record = KeyedRecord(key=self._own, value=msgspec.json.encode(own))
         first = Writer(name=f"peer-{writer}", epoch=1, sequence=0)
-        # What stood there before tells whether this process follows a lost one.
+        # The previous registration tells whether this process replaces a lost one.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self._listed.wait()
         while True:
-            done = await keyed_log.append(PARTITION, [record], writer=first)
-            if not isinstance(done, Failure):
+            result = await keyed_log.append(PARTITION, [record], writer=first)
+            if not isinstance(result, Failure):
                 return
             await asyncio.sleep(REGISTER_RETRY)
 
     async def unregister(self, keyed_log: KeyedLog, writer: str) -> None:
-        """Take the own address back; what a lost process leaves does no harm."""
+        """Remove this process's registration; a failure is only logged."""
         record = KeyedRecord(key=self._own, value=b"")
         last = Writer(name=f"peer-{writer}", epoch=1, sequence=1)
-        done = await keyed_log.append(PARTITION, [record], writer=last)
-        if isinstance(done, Failure):
-            log.warning("the own registration stays: {}", done.reason)
+        result = await keyed_log.append(PARTITION, [record], writer=last)
+        if isinstance(result, Failure):
+            log.warning("own registration was not removed: {}", result.reason)
 
     async def relay(self, call: StoreCall) -> StoreReply | Failure:
-        """Make a call to the store through a peer that reaches it."""
+        """Relay a store call through a peer that reaches the store."""
         failure = Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="no peer is known")
         for address in self._relay_candidates():
             timeout = call.timeout if call.waits else PEER_TIMEOUT
@@ -153,47 +153,49 @@
             if isinstance(reply, StoreAnswer) and not reply.reply.turned_away:
                 self._preferred = address
                 return reply.reply
-            # A peer may be turned away like this process; the next one may not.
+            # The store may throttle this peer as well, but not the next one.
             self._deprioritise(address)
             if isinstance(reply, Failed):
                 failure = reply.failure
         return failure
 
     def neighbours(self) -> list[HostName]:
-        """Return the other daemons of the data centre that are known."""
+        """Return the other registered hosts of this data centre."""
         return self._neighbours
 
     def link(self, host: HostName) -> Link | None:
-        """Return the link to a daemon; None if it is not known."""
+        """Return the link to a host; None if it is not registered."""
         record = self._known.get(host)
         return self._links.to(f"tcp://{record.address}") if record else None
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         self._links.close()
 
     def _apply(self, record: KeyedRecord) -> None:
         host = HostName(record.key)
-        found = _decode(record)
+        decoded = _decode(record)
         if host == self._own:
-            self._own_writer = found.writer if found else WriterId("")
-        elif found is not None:
-            self._known[host] = found
+            self._own_writer = decoded.writer if decoded else WriterId("")
+        elif decoded is not None:
+            self._known[host] = decoded
         elif not record.value:
             self._known.pop(host, None)
 
     def _rebuild_indexes(self) -> None:
-        """Keep what is asked for at each turn: hosts change seldom."""
+        """Recompute the lookups that each turn needs after a rare change of hosts."""
         self.version += 1
         self._neighbours = [
             host
-            for host, one in self._known.items()
-            if one.data_centre == self._data_centre
+            for host, record in self._known.items()
+            if record.data_centre == self._data_centre
         ]
-        self._hosts_by_writer = {one.writer: host for host, one in self._known.items()}
+        self._hosts_by_writer = {
+            record.writer: host for host, record in self._known.items()
+        }
         by_centre = defaultdict(list)
-        for host, one in sorted(self._known.items()):
-            by_centre[one.data_centre].append(host)
+        for host, record in sorted(self._known.items()):
+            by_centre[record.data_centre].append(host)
         if self._own_writer:
             by_centre[self._data_centre].append(self._own)
         if self._hosts_by_centre != by_centre:
@@ -204,22 +206,24 @@
         self.on_own_registration(self._own_writer or None, ordered)
 
     def _relay_candidates(self) -> list[str]:
-        """Return whom to ask, the best first.
+        """Return the addresses to try, in order.
 
-        Peers of the same data centre go first: what they pass on are turns of
-        all programs, and bytes between data centres are paid for.
+        Peers of this data centre come first, since traffic between data centres is
+        charged. Peers that failed lately come last.
         """
         now = asyncio.get_running_loop().time()
-        near = {self._known[host].address for host in self._neighbours}
-        found = list({*(one.address for one in self._known.values()), *self._seeds})
-        self._rng.shuffle(found)
+        neighbours = {self._known[host].address for host in self._neighbours}
+        addresses = list(
+            {*(record.address for record in self._known.values()), *self._seeds}
+        )
+        self._rng.shuffle(addresses)
 
         def rank(address: str) -> tuple[bool, bool, bool]:
             deprioritised = self._deprioritised_until.get(address, 0) > now
-            return deprioritised, address not in near, address != self._preferred
+            return deprioritised, address not in neighbours, address != self._preferred
 
-        found.sort(key=rank)
-        return found[:MAX_PEERS_ASKED]
+        addresses.sort(key=rank)
+        return addresses[:MAX_PEERS_ASKED]
 
     def _deprioritise(self, address: str) -> None:
         now = asyncio.get_running_loop().time()
@@ -229,7 +233,7 @@
 
 
 class PeerServer:
-    """Answer peers: calls to the store, and what else `fallback` answers."""
+    """Serves peers: relays store calls and passes other requests to `fallback`."""
 
     def __init__(
         self,
@@ -248,23 +252,27 @@
 
     @property
     def address(self) -> str:
-        """Return the address that peers reach."""
+        """Return the address that the server is bound to."""
         return self._responder.address
 
     async def run(self) -> None:
-        """Answer peers for ever."""
+        """Serve peers for ever."""
         await self._responder.run()
 
     def close(self) -> None:
-        """Stop to answer."""
+        """Stop serving."""
         self._responder.close()
 
     async def _answer(self, request: Request, send: Send) -> Reply:
         if not isinstance(request, StoreRequest):
             return await self.fallback(request, send)
         if not self._reaches_store():
-            # The peer asks another one at once, not after a call in vain.
-            return Failed(failure=unavailable(request.call, "not reached here either"))
+            # Fail fast, so that the peer tries another one without a timeout.
+            return Failed(
+                failure=unavailable(
+                    request.call, "store is not reachable from this peer either"
+                )
+            )
         reply = await self._caller.call(request.call)
         if isinstance(reply, Failure):
             return Failed(failure=reply)
@@ -277,14 +285,14 @@
     try:
         return msgspec.json.decode(record.value, type=PeerRecord)
     except msgspec.DecodeError as error:
-        log.warning("registration of {} can't be read: {}", record.key, error)
+        log.warning("cannot decode registration of {}: {}", record.key, error)
         return None
 
 
 def _ignore(writer: WriterId | None, ordered: bool) -> None:
-    """Do nothing with a registration."""
+    """Ignore a change of this host's registration."""
 
 
 async def _reject_request(request: Request, send: Send) -> Reply:
-    reason = f"not for this process: {type(request).__name__}"
+    reason = f"no handler for requests of type {type(request).__name__}"
     return Failed(failure=Failure(kind=ErrorKind.MALFORMED, reason=reason))
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -1,4 +1,4 @@
-"""Ask the keepers of a workspace's limit for tokens, and keep shares for others."""
+"""Take rate-limit tokens from the hosts that keep a workspace's limit."""
 
 from __future__ import annotations
 
@@ -12,13 +12,12 @@
 from .peer_health import PeerHealth
 from .peers import Peers
 
-# A keeper answers from memory. One that does not within this time is dead, frozen
-# or overloaded. Seconds.
+# Keepers answer from memory. Seconds.
 ASK_TIMEOUT = 0.1
 
 
 class FleetQuotas:
-    """Take tokens from the keepers of shares, the nearest one first."""
+    """Takes rate-limit tokens from the keepers of shares, the nearest first."""
 
     def __init__(
         self,
@@ -38,7 +37,7 @@
         self._purse = purse
 
     async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
-        """Return until when the token counts on the clock, or why there is none."""
+        """Return the time until which the taken token is valid, or the refusal."""
         workspace = caller.workspace
         assert workspace is not None
         held = self._purse.take(workspace)
@@ -60,7 +59,7 @@
         return refusal
 
     def give_back(self, caller: Caller, until: float) -> None:
-        """Hold the token for another request of this process."""
+        """Keep an unused token for another request of this process."""
         if caller.workspace is not None:
             self._purse.give_back(caller.workspace, until)
 
@@ -69,14 +68,14 @@
         return self._purse.now()
 
     def answer(self, request: TakeTokens) -> Reply:
-        """Answer another gateway."""
+        """Handle a request of another gateway for tokens."""
         tokens = self._limiter.take(
             request.workspace, request.share, request.count, begins=request.begins
         )
         return TokensTaken(tokens=tokens)
 
     def _shares_nearest_first(self, workspace: Workspace) -> list[tuple[int, HostName]]:
-        """Return the shares with their keepers, the nearest first."""
+        """Return the shares with their keepers, nearest first."""
         near = {self._own, *self._peers.neighbours()}
         shares = list(enumerate(self._keepers.of(workspace)))
         shares.sort(key=lambda entry: (entry[1] != self._own, entry[1] not in near))
@@ -89,7 +88,7 @@
         if host == self._own:
             return self._limiter.take(workspace, share, count, begins=begins)
         link = self._peers.link(host)
-        if link is None or not self._peer_health.available(host):
+        if link is None or not self._peer_health.usable(host):
             return NOT_KEPT
         request = TakeTokens(
             workspace=workspace, share=share, count=count, begins=begins
--- a/sequoiaarch/fleet/ranking.py
+++ b/sequoiaarch/fleet/ranking.py
@@ -1,4 +1,4 @@
-"""Rank hosts for names by rendezvous, alike in every process."""
+"""Rank hosts by rendezvous hashing, with the same result in every process."""
 
 from __future__ import annotations
 
@@ -11,31 +11,29 @@
 
 
 def score(name: str, host: HostName) -> int:
-    """Return the rank of a host for a name; the highest one comes first."""
+    """Return the rendezvous score of a host for a name; the highest ranks first."""
     return xxhash.xxh32_intdigest(f"{name}/{host}".encode())
 
 
 def rank_of(own: HostName, name: str, hosts: Iterable[HostName]) -> int:
-    """Return how many hosts come before the own one for a name."""
+    """Return the rank of this host for a name, counted from 0."""
     own_score = score(name, own)
     return sum(score(name, host) > own_score for host in hosts)
 
 
 def ranks_first(own: HostName, name: str, hosts: Iterable[HostName]) -> bool:
-    """Return whether no host comes before the own one for a name.
+    """Return whether this host ranks first for a name.
 
-    Of many hosts few have to be looked at: each comes before the own one as
-    likely as not.
+    Stops at the first host with a higher score, so it computes few scores on average.
     """
     own_score = score(name, own)
     return not any(score(name, host) > own_score for host in hosts)
 
 
 class SlotRanking:
-    """Keep the order of a data centre's hosts for each slot of programs.
+    """Caches the ranking of a data centre's hosts for each program slot.
 
-    Each turn asks for it. With 108 hosts in a data centre that were 108 ranks a
-    turn; the order changes only when hosts start and stop.
+    Every turn needs a ranking, which changes only when hosts start or stop.
     """
 
     def __init__(
@@ -52,7 +50,7 @@
         self._orders: dict[int, list[HostName]] = {}
 
     def hosts_for(self, slot: int) -> list[HostName]:
-        """Return this host and its neighbours, the first one for a slot first."""
+        """Return this host and its neighbours, ranked for a slot."""
         version = self._version()
         if version != self._seen:
             self._orders.clear()
--- a/sequoiaarch/fleet/registration_check.py
+++ b/sequoiaarch/fleet/registration_check.py
@@ -1,4 +1,4 @@
-"""Find out when all other hosts see this one, so that it may keep shares."""
+"""Check that all hosts see this host's registration before it keeps shares."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 from .peers import Peers
 from .turn_server import failure_reply
 
-# Seconds.
+# In seconds.
 ASK_TIMEOUT = 0.5
 ASK_INTERVAL = 0.1
-# With more hosts than these it is cheaper to wait than to have a link to each.
+# Beyond this many hosts, waiting for the lease is cheaper than a link to each.
 MAX_HOSTS = 64
 
 
 class RegistrationCheck:
-    """Ask all registered hosts whether they see this one's registration.
+    """Asks all registered hosts whether they see this host's registration.
 
-    Until then some may keep a share that has fallen to this host. One that does not
-    answer, as it is lost or cut off, may too; this host then waits for as long as
-    that one may act by an old view.
+    A host with an older view may still keep a share that is now assigned to this
+    host. If one does not answer, this host waits until the lease of such a view has
+    expired.
     """
 
     def __init__(
@@ -34,20 +34,20 @@
         self._tenure = tenure
 
     async def run(self) -> None:
-        """Ask whenever this host waits, again and again."""
+        """Ask repeatedly while this host waits to keep its shares."""
         while True:
             await asyncio.sleep(ASK_INTERVAL)
             if self._tenure.waits and await self._seen_by_all():
                 self._tenure.seen_by_all()
 
     def answer(self, request: SeenRequest) -> Reply:
-        """Tell another host whether it is seen."""
+        """Confirm that another host's registration is seen here."""
         if self._peers.has_registration(request.host, request.writer):
             return Accepted()
-        return failure_reply(f"{request.host} is not seen")
+        return failure_reply(f"registration of {request.host} is not seen here")
 
     async def _seen_by_all(self) -> bool:
-        """Return whether every host that was registered sees this one."""
+        """Return whether every registered host sees this one."""
         hosts = self._peers.hosts()
         if len(hosts) > MAX_HOSTS:
             return False
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -1,4 +1,4 @@
-"""Claim slots of programs for this process, and remove claims of the past."""
+"""Claim program slots for this process and remove expired claims."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 log = logbook.Logger("lenders")
 
 PARTITION = Partition(topic=TOPIC, number=0)
-# All processes start together and register within a second; who claims before
-# that takes what others would share. Seconds.
+# Leaves processes that start together time to register, so that they share the
+# slots. Seconds.
 FIRST_CLAIM_DELAY = 3.0
 CLAIM_INTERVAL = 2.0
 RETRY_SECONDS = 0.5
-# What a stopped process had lent goes into one record, which the store bounds at
-# 256 KiB: 4,000 programs. With more its claims stay, as after a crash. Bytes.
+# Stays below the store's limit of 256 KiB for a record. A process whose loans take
+# more keeps its claims when it stops, as after a crash. Bytes.
 MAX_CARRIED_BYTES = 192 * 1024
 
 
 class SlotClaimer:
-    """Keep this process's claims in the log, and say what they allow it.
+    """Maintains this process's slot claims in the log.
 
-    The place of a process among the lenders of a slot follows from the order of
-    the claims; without one it lends nothing.
+    The order of the claims in the log gives the rank of a process among the lenders
+    of a slot. Without a claim a process lends nothing.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._append_numbers = itertools.count()
 
     def rank(self, program: ProgramId) -> int | None:
-        """Return this process's place for a program; None if it may not lend."""
+        """Return this process's rank for a program; None if it may not lend."""
         if self._stopped or not self._peers.own_registration_is(self._writer):
             return None
         if self._clock() - self._seen_from() > LENDING_LEASE:
@@ -84,27 +84,26 @@
         return None
 
     def host(self, writer: WriterId) -> HostName | None:
-        """Return where a process runs; None if it is gone."""
+        """Return the host of a process; None if it is not registered."""
         return self._own if writer == self._writer else self._peers.host_of(writer)
 
     async def run(self, keyed_log: KeyedLog, retention: Callable[[], float]) -> None:
-        """Claim slots that nobody lends to, and remove claims of the past."""
+        """Claim slots without a live lender and remove expired claims, for ever."""
         await asyncio.sleep(FIRST_CLAIM_DELAY)
         while True:
             self._book.forget_old()
             slots = self._slots_to_claim()
             if slots:
                 await self._append(keyed_log, slots)
-                log.info("lends to the programs of {} slots", len(slots))
+                log.info("claimed {} slots", len(slots))
             for key in self.expired_claims(retention()):
                 await self._remove(keyed_log, key)
             await asyncio.sleep(CLAIM_INTERVAL)
 
     async def stop(self, keyed_log: KeyedLog) -> None:
-        """Lend no longer, and leave the place to whoever follows.
+        """Stop lending and remove the claims, so that a successor gets their rank.
 
-        Without it the programs of all slots had a tenth of their budget to
-        borrow after all processes had been stopped and started in turn.
+        Claims that stay push every later lender to a rank with a smaller part.
         """
         self._stopped = True
         keys = self._claims.keys_of(self._writer)
@@ -112,15 +111,15 @@
         value = msgspec.json.encode(carried)
         if not keys or len(value) > MAX_CARRIED_BYTES:
             return
-        # After the claims in the order of keys too: a list that is read in
-        # pages must not show that they are gone and not what they had lent.
+        # The key sorts after those of the claims: a reader of pages sees the loans
+        # whenever it sees that the claims are gone.
         records = [KeyedRecord(key=f"{self._writer}/carried", value=value)]
         records += [KeyedRecord(key=key, value=b"") for key in keys]
         await self._write(keyed_log, next(self._append_numbers), records)
-        log.info("{} claims were taken back", len(keys))
+        log.info("removed {} own claims on shutdown", len(keys))
 
     def _slots_to_claim(self) -> list[int]:
-        """Return the slots that fall to this process, by rendezvous."""
+        """Return the unclaimed slots that rendezvous hashing assigns to this host."""
         if self._stopped or not self._peers.own_registration_is(self._writer):
             return []
         new = set(self._claims.unclaimed(self._registered))
@@ -131,18 +130,20 @@
         ]
 
     def _is_assigned_here(self, slot: int, *, near: bool) -> bool:
-        """Return whether a slot falls to this host, of all or of the data centre.
+        """Return whether this host scores highest for a slot.
 
-        That a registered machine is gone is known only where its requests go.
+        With `near` only hosts of this data centre compete: only they send requests to
+        a dead host that is still registered, and so notice that it is gone.
         """
         others = self._peers.neighbours() if near else self._peers.hosts()
         hosts = (host for host in others if not self._peer_health.presumed_gone(host))
         return ranks_first(self._own, slot_name(slot), hosts)
 
     def expired_claims(self, retention: float) -> list[str]:
-        """Return the claims that can go, by registrations alone.
+        """Return the keys of claims whose processes have long been unregistered.
 
-        A process that only this one can't reach still lends to others.
+        Reachability does not count: a process that this one can't reach may still
+        lend to others.
         """
         return self.expiry.expired(self._claims.writers(), self._registered, retention)
 
@@ -150,11 +151,10 @@
         return self.host(writer) is not None
 
     def _presumed_live(self, writer: WriterId) -> bool:
-        """Return whether a process lends, as far as is known here.
+        """Return whether a process is registered and its host not presumed gone.
 
-        This decides who claims besides it, never who loses a place. A machine
-        that is gone for good stays registered; the programs of its slots, one
-        in eight with eight machines, had nobody to lend to them.
+        A host that is lost for good stays registered. This lets others claim its
+        slots as well; it never removes a claim.
         """
         host = self.host(writer)
         return host is not None and not self._peer_health.presumed_gone(host)
@@ -170,15 +170,15 @@
     async def _remove(self, keyed_log: KeyedLog, key: str) -> None:
         number = next(self._append_numbers)
         await self._write(keyed_log, number, [KeyedRecord(key=key, value=b"")])
-        log.info("claim {} was removed, its process is long gone", key)
+        log.info("removed claim {} of a process that is no longer registered", key)
 
     async def _write(
         self, keyed_log: KeyedLog, number: int, records: list[KeyedRecord]
     ) -> None:
-        """Write records; the same ones are tried again until the store has them."""
+        """Append records, retrying with the same sequence number until it succeeds."""
         writer = Writer(name=f"lender-{self._writer}", epoch=1, sequence=number)
         while True:
-            done = await keyed_log.append(PARTITION, records, writer=writer)
-            if not isinstance(done, Failure):
+            result = await keyed_log.append(PARTITION, records, writer=writer)
+            if not isinstance(result, Failure):
                 return
             await asyncio.sleep(RETRY_SECONDS)
--- a/sequoiaarch/fleet/target_reports.py
+++ b/sequoiaarch/fleet/target_reports.py
@@ -1,4 +1,4 @@
-"""Share with the hosts of the data centre which targets fail."""
+"""Share target failures and recoveries within a data centre."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from .peers import Peers
 from .ranking import rank_of
 
-# A report is of use for about as long as requests keep failing. Seconds.
+# A later report would be out of date. Seconds.
 REPORT_TIMEOUT = 0.5
 
 
 class TargetReports:
-    """Tell the neighbours what was seen of targets, and take over what they saw.
+    """Broadcasts target health to the neighbours and applies their reports.
 
-    Hosts of one data centre choose the same targets first. A report goes to
-    each of them once for a failure that is news, so messages grow with the hosts
-    and not with the failures of all of them.
+    Hosts of one data centre choose the same targets first. A change is reported once
+    to each neighbour, so traffic grows with the number of hosts and not with the
+    number of failed requests.
     """
 
     def __init__(self, *, own: HostName, peers: Peers, health: TargetHealth) -> None:
@@ -30,7 +30,7 @@
         self._notifier = Notifier(timeout=REPORT_TIMEOUT)
 
     def broadcast(self, instance: InstanceId, ok: bool) -> None:
-        """Tell the neighbours that a target failed or serves again."""
+        """Report to all neighbours that a target failed or has recovered."""
         report = TargetReport(instance=instance, host=self._own, ok=ok)
         for host in self._peers.neighbours():
             link = self._peers.link(host)
@@ -38,11 +38,11 @@
                 self._notifier.notify(link, report)
 
     def receive(self, report: TargetReport) -> Reply:
-        """Take over what a neighbour saw."""
+        """Apply a report of a neighbour."""
         now = asyncio.get_running_loop().time()
         self._health.told(report.instance, report.host, ok=report.ok, now=now)
         return Accepted()
 
     def rank(self, name: str) -> int:
-        """Return this host's place among the neighbours for a name."""
+        """Return this host's rendezvous rank among its neighbours for a name."""
         return rank_of(self._own, name, self._peers.neighbours())
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -1,4 +1,4 @@
-"""Keep accounts of programs for the other gateways of the data centre."""
+"""Serve turns as the delegate of other gateways in the data centre."""
 
 from __future__ import annotations
 
@@ -31,39 +31,39 @@
 
 log = logbook.Logger("delegates")
 
-# A gateway that hears nothing for 1.5 s takes its delegate for lost. While the
-# store is away the end of a turn waits for longer than that. Seconds.
+# Sends progress replies more often than the gateway's timeout, as a commit may wait
+# for the store for longer. Seconds.
 PROGRESS_INTERVAL = 0.5
 CALLER_LEFT = "the caller left"
 NOT_OPEN = "the turn is not open here"
-# Ends of turns that were not open here; those of some seconds at the peak.
+# Bounds the memory of ends that arrived before their beginning.
 MAX_EARLY_ENDS = 1000
 
 
 class TurnServer:
-    """Keep accounts for the other gateways of the data centre."""
+    """Keeps the budget accounts of turns that run at other gateways."""
 
     def __init__(self, *, local: LocalTurns, ledger: Ledger) -> None:
         self._local = local
         self._ledger = ledger
         self._open: dict[OpeningId, LocalTurn] = {}
-        # Openings whose end came while they were not open here, the newest last.
+        # Openings whose end arrived while they were not open, the newest last.
         self._early_ends: OrderedDict[OpeningId, None] = OrderedDict()
         self.stopping = False
 
     @property
     def open_turns(self) -> int:
-        """Return how many turns of other gateways are open."""
+        """Return the number of open turns of other gateways."""
         return len(self._open)
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Answer a request about a turn."""
+        """Handle a request about a turn."""
         if isinstance(request, CloseTurnRequest):
             self._close(request.opening, request.handed)
             return Accepted()
         work = asyncio.create_task(self._handle(request))
         try:
-            # The first word comes at once, and others while the store is awaited.
+            # The first one acknowledges the request; later ones report progress.
             while not work.done():
                 await send(Accepted())
                 await asyncio.wait([work], timeout=PROGRESS_INTERVAL)
@@ -81,13 +81,12 @@
         if isinstance(request, CommitTurnRequest):
             await self._commit(request)
             return Accepted()
-        return failure_reply(f"not for this part: {request}")
+        return failure_reply(f"unexpected request for a delegate: {request}")
 
     async def _open_turn(self, opening: OpeningId, start: TurnStart) -> Reply:
         if self.stopping:
             return failure_reply("stopping")
-        # A process that stood still finds a beginning and its end together, in
-        # either order.
+        # After a freeze, an opening and its end can be read in either order.
         if opening in self._early_ends:
             return failure_reply(CALLER_LEFT)
         opened = await self._local.open(start)
@@ -123,14 +122,14 @@
         if not await opened.cover_total(request.total):
             return TurnRefused(verdict=BudgetVerdict.EXCEEDED)
         if request.opening not in self._open:
-            # It ended meanwhile, and what covered it may be granted to others.
+            # The turn ended meanwhile, and its tokens may be granted to others.
             return failure_reply(NOT_OPEN)
         return TurnCovered(covered=opened.covered)
 
     async def _commit(self, request: CommitTurnRequest) -> None:
         opened = self._open.pop(request.opening, None)
         if opened is None:
-            # This process took the place of the one that opened it.
+            # The turn was opened by an earlier process on this host.
             await self._ledger.write(request.terms, request.content)
             return
         opened.hand_out_total(request.handed)
@@ -145,17 +144,17 @@
         opened.close()
 
     def _record_early_end(self, opening: OpeningId) -> None:
-        """Keep in mind that a turn has ended, should its beginning come later.
+        """Record an end that arrived before its opening.
 
-        A link that fell silent is made anew, and what waits in the old one may be
-        read after what came through the new one. Nobody would end such a turn.
+        After a reconnect, messages of the old connection can be read after those of
+        the new one. Nobody would ever end a turn that is opened then.
         """
         self._early_ends[opening] = None
         if len(self._early_ends) > MAX_EARLY_ENDS:
             self._early_ends.popitem(last=False)
 
     def _expire(self, opening: OpeningId, terms: TurnTerms) -> None:
-        """Count all that a turn was covered for whose gateway never told its end."""
+        """Close a turn whose gateway never ended it, with its whole grant used."""
         opened = self._open.get(opening)
         if opened is None:
             return
--- a/sequoiaarch/membership/__init__.py
+++ b/sequoiaarch/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Know which targets can be given work."""
+"""Track which targets can be given work."""
--- a/sequoiaarch/membership/view.py
+++ b/sequoiaarch/membership/view.py
@@ -1,4 +1,4 @@
-"""Join the platform's host list with what peers show of themselves."""
+"""Combine the platform's host list with what the targets report."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
 
 log = logbook.Logger("membership")
 
+# In seconds.
 LIST_INTERVAL = 1.0
 PROBE_INTERVAL = 0.5
 PROBE_TIMEOUT = 1.0
 
 
 class Membership:
-    """Say which targets are live, leaving, silent or draining.
+    """Tracks which targets are live, leaving, silent or draining.
 
-    The host list lags, so a target is avoided as soon as one of these says
-    so: the list, its own refusal to take work, or its silence. A silent or
-    draining target is probed until it answers and takes work again.
+    The host list lags, so a target is also avoided when its sidecar is silent or
+    reports that it drains. Such a target is probed until it answers and takes work
+    again.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self._reported_at: dict[TargetName, float] = {}
 
     def sidecar_addresses(self) -> dict[TargetName, str]:
-        """Return the address of every sidecar that should answer."""
+        """Return the addresses of the sidecars that should answer, by target."""
         return {
             TargetName(target.name): target.spec.address
             for target in self._catalogue.targets
@@ -65,7 +66,7 @@
         return target.spec.address if target else None
 
     def answers(self, target: TargetDocument) -> bool:
-        """Return whether the sidecar of a target should answer."""
+        """Return whether the sidecar of a target is expected to answer."""
         if TargetName(target.name) in self._silent:
             return False
         return self._host_state(target) is not None
@@ -85,8 +86,8 @@
 
     def _host_state(self, target: TargetDocument) -> HostState | None:
         if self._hosts is None:
-            # The list was never read. Peers that do not answer are found
-            # silent by themselves.
+            # Until the list is read, all hosts count as live; sidecars that do not
+            # answer are marked silent.
             return HostState.LIVE
         return self._hosts.get(HostName(target.spec.host))
 
@@ -95,20 +96,20 @@
         return self._loads.get(name)
 
     def report_age(self, name: TargetName) -> float:
-        """Return the seconds since a target reported its load."""
+        """Return the seconds since a target reported its load, or infinity."""
         reported = self._reported_at.get(name)
         return time.monotonic() - reported if reported is not None else math.inf
 
     def sent_since(self, name: TargetName) -> int:
-        """Return the calls sent to a target since it reported."""
+        """Return the number of calls sent to a target since its last report."""
         return self._calls_since_report.get(name, 0)
 
     def note_sent(self, name: TargetName) -> None:
-        """Count a call that was sent to a target."""
+        """Count a call sent to a target."""
         self._calls_since_report[name] = self._calls_since_report.get(name, 0) + 1
 
     def note_load(self, load: Load | None) -> None:
-        """Take in the load that came with a reply."""
+        """Store the load that came with a reply."""
         if load is None:
             return
         self._loads[load.target] = load
@@ -118,7 +119,7 @@
             self._probe(load.target)
 
     def note_silent(self, name: TargetName) -> None:
-        """Avoid a target whose sidecar did not answer, until it does."""
+        """Mark a target silent until its sidecar answers a probe."""
         if name not in self._silent:
             log.warning("Target {} is silent and gets no work.", name)
             self._metrics.peers_lost.inc({})
@@ -126,7 +127,7 @@
         self._probe(name)
 
     def silent(self, name: TargetName) -> bool:
-        """Return whether the sidecar of a target did not answer lately."""
+        """Return whether a target is marked silent."""
         return name in self._silent
 
     def _probe(self, name: TargetName) -> None:
@@ -152,7 +153,7 @@
                 return
 
     async def run(self) -> None:
-        """Read the host list again and again."""
+        """Poll the host list for ever."""
         if self._host_list is None:
             return
         while True:
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -437,7 +437,7 @@
         left = [one for one in self.processes if one is not self.lender]
         for process in left:
             for _ in range(GONE_FAILURES):
-                process.peer_health._retry_at.clear()
+                process.peer_health._until.clear()
                 process.peer_health.record_failure(self.lender.name, "no reply")
         await self.until(lambda: any(one.rank == 1 for one in left))
         await self.until(
@@ -457,7 +457,7 @@
         clock = mock.Mock(return_value=0.0)
         self.other.claimer.expiry = ClaimExpiry(clock=clock)
         for _ in range(GONE_FAILURES):
-            self.other.peer_health._retry_at.clear()
+            self.other.peer_health._until.clear()
             self.other.peer_health.record_failure(self.lender.name, "no reply")
         self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
         clock.return_value = 100 * LENDING_LEASE
