--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -1,4 +1,4 @@
-"""Test accounts that one process keeps for the others of its data centre."""
+"""Test turns whose budget account is kept by a delegate."""
 
 from __future__ import annotations
 
@@ -49,25 +49,25 @@
     encode,
 )
 
-HERE = DataCentre("here")
+LOCAL_CENTRE = DataCentre("here")
 PROGRAM = ProgramId("program")
 BUDGET = 800
-MOST = 100
+MAX_TOKENS = 100
 LIFETIME = 0.3
-PATIENCE = 10.0
-# Later than a gateway waits for the first word of a delegate. Seconds.
-LATE = 0.25
-# The budget of a program that holds one turn and a half, in tokens.
-SMALL = 160
-# What a turn there is covered for when it begins, and what is left of the budget
-# beside that and a whole turn, in tokens.
-COVERED = 34
-BESIDE = SMALL - COVERED - MOST
-# A caller whose budget is held comes back after this time, so often.
-HELD_RETRY = 0.5
-TRIES = 4
-# An end that was not heard is told again within this time. Seconds.
-SETTLE_TIME = 3.0
+TEST_TIMEOUT = 10.0
+# Exceeds the gateway's timeout for a delegate's first reply. Seconds.
+LATE_REPLY_DELAY = 0.25
+# Budget for about one and a half turns, in tokens.
+SMALL_BUDGET = 160
+# Initial grant of a turn under the small budget, and what the budget has left beside
+# that grant and a whole turn, in tokens.
+INITIAL_GRANT = 34
+BUDGET_LEFT = SMALL_BUDGET - INITIAL_GRANT - MAX_TOKENS
+# Delay between a caller's attempts while its budget is held, and their number.
+RETRY_DELAY = 0.5
+MAX_ATTEMPTS = 4
+# Limit for the retry of a lost end report. Seconds.
+RETRY_LIMIT = 3.0
 
 
 def start(
@@ -85,7 +85,7 @@
             turn=TurnId(turn),
             program=PROGRAM,
             budget=budget,
-            most=MOST,
+            most=MAX_TOKENS,
             retention=60.0,
             session=SessionId(session),
         ),
@@ -95,8 +95,8 @@
     )
 
 
-class NoStore:
-    """Fail every call: no peer relays in these tests."""
+class FailingStoreCaller:
+    """Store caller that fails every call."""
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Return a failure."""
@@ -104,7 +104,7 @@
 
 
 class Process:
-    """Hold what one gateway has for turns."""
+    """The parts of a gateway that handle turns."""
 
     def __init__(
         self, *, name: str, context: zmq.asyncio.Context, client: KeyedStoreClient
@@ -112,14 +112,14 @@
         self.name = HostName(name)
         self.client = client
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=NoStore()
+            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
             context=context,
             own=self.name,
             own_address=self.address,
-            data_centre=HERE,
+            data_centre=LOCAL_CENTRE,
             seeds=[],
             rng=random.Random(1),
         )
@@ -138,10 +138,10 @@
 
 
 class DelegatesTestCase(unittest.IsolatedAsyncioTestCase):
-    """Hold two processes of one data centre over real sockets."""
+    """Runs two processes of one data centre over real sockets."""
 
     async def asyncSetUp(self) -> None:
-        """Start the delegate of the program's account, and another process."""
+        """Start the delegate of the program and another gateway."""
         self.store = KeyedStore()
         self.context = zmq.asyncio.Context()
         self.closing: list[Callable[[], None]] = []
@@ -150,7 +150,7 @@
         processes = {name: self.process(name) for name in names}
         for process in processes.values():
             for other in processes.values():
-                record = PeerRecord(address=other.address, data_centre=HERE)
+                record = PeerRecord(address=other.address, data_centre=LOCAL_CENTRE)
                 value = msgspec.json.encode(record)
                 process.peers.change(KeyedRecord(key=other.name, value=value))
         delegate = processes["one"].delegates.delegate_of(PROGRAM) or HostName("one")
@@ -175,19 +175,19 @@
         self.closing.append(process.server.close)
         return process
 
-    def answer_with(self, answer: Callable[[Request, Send], object]) -> None:
-        """Have the delegate answer requests otherwise."""
+    def set_delegate_handler(self, answer: Callable[[Request, Send], object]) -> None:
+        """Replace the delegate's request handler."""
         self.delegate.server.fallback = answer  # type: ignore[assignment]
 
     async def opened(self, process: Process, begun: TurnStart) -> OpenTurn:
-        """Open a turn, which must fit."""
+        """Open a turn and assert that it fits the budget."""
         found = await process.turns.open(begun)
         assert isinstance(found, LocalTurn | DelegatedTurn), found
         self.assertIs(await found.verdict(), BudgetVerdict.FITS)
         return found
 
     async def granted(self, *processes: Process) -> int:
-        """Return what the log grants processes, as one that starts now reads it."""
+        """Return the tokens granted to processes, as a fresh reader of the log sees."""
         fresh = Ledger(log=self.store.client(), writer="x", places=Places(per_topic=2))
         partition = fresh.partition(PROGRAM)
         self.assertTrue(await partition.sync())
@@ -196,14 +196,14 @@
             for process in processes
         )
 
-    async def ended_at_delegate(self, *, within: float) -> None:
-        """Wait until the delegate has no turn open, for so many seconds."""
+    async def wait_until_closed(self, *, within: float) -> None:
+        """Wait up to `within` seconds until the delegate has no open turn."""
         async with asyncio.timeout(within):
             while self.delegate.turn_server.open_turns:
                 await asyncio.sleep(0.01)
 
-    def covers_arrive_after(self, end: asyncio.Event) -> None:
-        """Have the delegate take up raises only after a turn's end."""
+    def delay_cover_requests(self, end: asyncio.Event) -> None:
+        """Delay requests for more tokens at the delegate until an event is set."""
         before = self.delegate.turn_server.answer
 
         async def overtaken(request: Request, send: Send) -> Reply:
@@ -211,19 +211,19 @@
                 await end.wait()
             return await before(request, send)
 
-        self.answer_with(overtaken)
+        self.set_delegate_handler(overtaken)
 
-    async def rest_being_reserved(self) -> tuple[OpenTurn, asyncio.Task[bool]]:
-        """Lose the delegate midway; return the turn whose rest is asked for here.
+    async def start_fallback(self) -> tuple[OpenTurn, asyncio.Task[bool]]:
+        """Return a turn whose delegate was lost, and its pending request for tokens.
 
-        The store is slow, so the gateway waits for the verdict on that rest.
+        The store is slow, so the gateway still waits for the new reservation.
         """
-        turn = await self.opened(self.other, start("t1", budget=4 * MOST - 10))
+        turn = await self.opened(self.other, start("t1", budget=4 * MAX_TOKENS - 10))
         self.assertFalse(turn.covers(40))
         turn.hand_out(30)
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
-        self.answer_with(restarted.answer)
+        self.set_delegate_handler(restarted.answer)
         self.assertTrue(await self.other.ledger.partition(PROGRAM).sync())
         self.other.client.faults.delay = 0.2
         waiting = asyncio.Event()
@@ -235,17 +235,17 @@
 
         with mock.patch.object(LocalTurn, "verdict", noted):
             asking = asyncio.create_task(turn.cover(10))
-            async with asyncio.timeout(PATIENCE):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 await waiting.wait()
         return turn, asking
 
-    async def assert_returned(self) -> None:
-        """Check that the gateway returns what it has granted to itself."""
-        async with asyncio.timeout(PATIENCE):
+    async def assert_grant_released(self) -> None:
+        """Assert that the gateway releases its own grant."""
+        async with asyncio.timeout(TEST_TIMEOUT):
             while not await self.granted(self.other):
                 await asyncio.sleep(0.01)
         self.other.client.faults.delay = 0.0
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TEST_TIMEOUT):
             while await self.granted(self.other):
                 await self.other.ledger.flush()
                 await asyncio.sleep(0.01)
@@ -253,7 +253,7 @@
     async def run_turn(
         self, process: Process, begun: TurnStart, given: bytes, made: bytes
     ) -> OpenTurn:
-        """Run and commit a turn that hands out ten tokens."""
+        """Run and commit a turn that uses ten tokens."""
         turn = await self.opened(process, begun)
         turn.announce()
         turn.hand_out(10)
@@ -263,13 +263,12 @@
 
 
 class DelegatesTests(DelegatesTestCase):
-    """Run turns through a gateway and the delegate of their program's account."""
+    """Test turns opened through a gateway and its program's delegate."""
 
-    async def test_turns_through_both(self) -> None:
-        """Continue at one process what the other relayed, without the store.
+    async def test_turns_through_gateway_and_delegate(self) -> None:
+        """Continue a program at either process without reading the store.
 
-        The delegate has the history in memory. The second turn costs the store its
-        own commit and index entry only.
+        The delegate has the history in memory.
         """
         await self.run_turn(self.other, start("t1"), b"in", b"out")
         calls = self.store.listings
@@ -284,17 +283,15 @@
         self.assertIsInstance(third, DelegatedTurn)
         self.assertEqual(self.store.listings, calls)
 
-    async def test_unknown_turn(self) -> None:
-        """Pass on that there is no such turn."""
+    async def test_unknown_previous_turn(self) -> None:
+        """Report an unknown previous turn as absent."""
         found = await self.other.turns.open(start("t2", previous="nothing"))
         self.assertIs(found, Lookup.ABSENT)
 
-    async def test_delegate_is_dead(self) -> None:
-        """Serve a turn although the delegate of its account says nothing.
+    async def test_unresponsive_delegate(self) -> None:
+        """Open a turn locally if the delegate does not answer.
 
-        The delegate's machine froze. The process that has the caller waits a
-        tenth of a second, keeps the account itself, and goes on from the same
-        history; for a while it asks the frozen one no more.
+        The gateway continues from the same history and backs off from the delegate.
         """
         await self.run_turn(self.other, start("t1"), b"in", b"out")
 
@@ -302,19 +299,15 @@
             await asyncio.Event().wait()
             raise AssertionError
 
-        self.answer_with(frozen)
+        self.set_delegate_handler(frozen)
         turn = await self.opened(self.other, start("t2", previous="t1"))
         self.assertIsInstance(turn, LocalTurn)
         assert turn.history is not None
         self.assertEqual(turn.history.prompt, b"inout")
         self.assertIsNone(self.other.delegates.delegate_of(PROGRAM))
 
-    async def test_delegate_dies_before_the_commit(self) -> None:
-        """Commit a turn here whose delegate is lost at the turn's end.
-
-        The caller has all events but the end. The delegate may or may not have
-        written the turn; the same record under the same key does no harm.
-        """
+    async def test_unresponsive_delegate_at_commit(self) -> None:
+        """Commit a turn locally if the delegate does not answer the commit."""
         turn = await self.opened(self.other, start("t1"))
         turn.announce()
         before = self.delegate.turn_server.answer
@@ -324,32 +317,28 @@
                 await asyncio.Event().wait()
             return await before(request, send)
 
-        self.answer_with(lost)
+        self.set_delegate_handler(lost)
         await turn.commit(b"in", b"out")
         fresh = Ledger(log=self.store.client(), writer="x", places=Places(per_topic=2))
         found = await fresh.history(PROGRAM, TurnId("t1"))
         assert not isinstance(found, Lookup)
         self.assertEqual(found.prompt, b"inout")
 
-    async def test_delegate_restarts_within_a_turn(self) -> None:
-        """Commit through a delegate that has forgotten the turn."""
+    async def test_delegate_restarts_during_turn(self) -> None:
+        """Commit through a delegate that restarted and lost its open turns."""
         turn = await self.opened(self.other, start("t1"))
         turn.announce()
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
-        self.answer_with(restarted.answer)
+        self.set_delegate_handler(restarted.answer)
         await turn.commit(b"in", b"out")
         found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
         assert not isinstance(found, Lookup)
         self.assertEqual(found.prompt, b"inout")
 
-    async def test_delegate_raises_what_a_turn_holds(self) -> None:
-        """Ask the delegate for more in the middle of a stream, a part at a time.
-
-        Little is left of the budget, so the turn holds a third of its most. The
-        gateway asks before that is used up; the delegate has the log grant more.
-        """
-        turn = await self.opened(self.other, start("t1", budget=3 * MOST))
+    async def test_delegate_extends_grant(self) -> None:
+        """Extend a partial grant at the delegate in the middle of a stream."""
+        turn = await self.opened(self.other, start("t1", budget=3 * MAX_TOKENS))
         self.assertIsInstance(turn, DelegatedTurn)
         self.assertTrue(turn.covers(30))
         self.assertFalse(turn.covers(40))
@@ -357,22 +346,20 @@
             self.assertTrue(await turn.cover(10))
             turn.hand_out(10)
         turn.close()
-        async with asyncio.timeout(PATIENCE):
-            while self.delegate.ledger.spent(start("t1").terms) < MOST:
+        async with asyncio.timeout(TEST_TIMEOUT):
+            while self.delegate.ledger.spent(start("t1").terms) < MAX_TOKENS:
                 await asyncio.sleep(0.01)
 
-    async def test_delegate_is_lost_between_two_raises(self) -> None:
-        """Go on here where the delegate is lost with a part of a turn granted.
+    async def test_delegate_lost_between_grants(self) -> None:
+        """Continue a stream locally if the delegate loses a partly granted turn.
 
-        The caller has some events. The delegate has forgotten the turn when more
-        is asked for. This process has the rest granted to itself; what the
-        delegate had granted counts as spent, the stream does not break.
+        The tokens that the delegate had granted count as spent.
         """
-        turn = await self.opened(self.other, start("t1", budget=3 * MOST))
+        turn = await self.opened(self.other, start("t1", budget=3 * MAX_TOKENS))
         turn.hand_out(30)
         ledger = self.delegate.ledger
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
-        self.answer_with(restarted.answer)
+        self.set_delegate_handler(restarted.answer)
         self.assertTrue(await turn.cover(30))
         turn.hand_out(30)
         self.assertIn("after all", turn.where)
@@ -382,19 +369,17 @@
         assert not isinstance(found, Lookup)
         self.assertEqual(found.prompt, b"inout")
 
-    async def test_turn_is_kept_while_more_is_asked_for(self) -> None:
-        """Trust a delegate that says that a turn is not open which has just ended.
+    async def test_commit_overtakes_cover_request(self) -> None:
+        """Keep using a delegate that gets a request for tokens after the commit.
 
-        A caller's stream ends at the event before more would be needed. The request
-        for more is on its way when the delegate writes the turn, and finds the turn no
-        longer open. The delegate is well: the program's next turns must go to it, and
-        nothing may be granted here for a turn that has ended.
+        The failure of such a request must neither count against the delegate nor
+        reserve tokens locally for a turn that has ended.
         """
-        turn = await self.opened(self.other, start("t1", budget=3 * MOST))
+        turn = await self.opened(self.other, start("t1", budget=3 * MAX_TOKENS))
         turn.hand_out(30)
         turn.announce()
         ended = asyncio.Event()
-        self.covers_arrive_after(ended)
+        self.delay_cover_requests(ended)
         asking = asyncio.create_task(turn.cover(10))
         await asyncio.sleep(0)
         await turn.commit(b"in", b"out")
@@ -404,57 +389,45 @@
         self.assertFalse(covered)
         self.assertEqual(await self.granted(self.other), 0)
 
-    async def test_turn_is_closed_while_more_is_asked_for(self) -> None:
-        """Trust a delegate that was told the end of a turn before a request for more.
-
-        The answer of a turn that is not kept ends, and its end reaches the delegate
-        first. The delegate is well, and nothing is left to be granted here.
-        """
-        turn = await self.opened(self.other, start("t1", budget=3 * MOST, kept=False))
+    async def test_close_overtakes_cover_request(self) -> None:
+        """Keep using a delegate that gets a request for tokens after the close."""
+        turn = await self.opened(
+            self.other, start("t1", budget=3 * MAX_TOKENS, kept=False)
+        )
         turn.hand_out(30)
         ended = asyncio.Event()
-        self.covers_arrive_after(ended)
+        self.delay_cover_requests(ended)
         asking = asyncio.create_task(turn.cover(10))
         await asyncio.sleep(0)
         turn.close()
-        await self.ended_at_delegate(within=PATIENCE)
+        await self.wait_until_closed(within=TEST_TIMEOUT)
         ended.set()
         covered = await asking
         self.assertEqual(self.other.delegates.delegate_of(PROGRAM), self.delegate.name)
         self.assertFalse(covered)
         self.assertEqual(await self.granted(self.other), 0)
 
-    async def test_caller_leaves_while_the_rest_is_reserved(self) -> None:
-        """Return the rest of a turn whose caller left before it was granted.
+    async def test_caller_leaves_during_fallback(self) -> None:
+        """Release a local reservation whose caller leaves before it is granted.
 
-        The delegate is lost midway, and the gateway has the rest granted to itself. The
-        caller leaves while the log is waited for. Nobody else knows of that rest: left
-        open, it would be missing from the program's budget for good.
+        A reservation left open would block that part of the budget for good.
         """
-        turn, asking = await self.rest_being_reserved()
+        turn, asking = await self.start_fallback()
         asking.cancel()
         await asyncio.wait([asking])
         turn.close()
-        await self.assert_returned()
-
-    async def test_turn_ends_while_the_rest_is_reserved(self) -> None:
-        """Return the rest of a turn that ended before it was granted.
+        await self.assert_grant_released()
 
-        The delegate is lost midway, and the answer ends with what it had granted while
-        the rest is being granted to the gateway. That rest must not stay open.
-        """
-        turn, asking = await self.rest_being_reserved()
+    async def test_turn_ends_during_fallback(self) -> None:
+        """Release a local reservation whose turn ends before it is granted."""
+        turn, asking = await self.start_fallback()
         turn.close()
         self.assertFalse(await asking)
-        await self.assert_returned()
-
-    async def test_delegate_is_slow_between_two_raises(self) -> None:
-        """Stay with a delegate that takes a moment to say that it works on a raise.
+        await self.assert_grant_released()
 
-        The delegate's machine is busy. Its grant would be lost with it, so a stream
-        that is under way waits for it longer than one that begins.
-        """
-        turn = await self.opened(self.other, start("t1", budget=3 * MOST))
+    async def test_slow_delegate_during_stream(self) -> None:
+        """Wait longer for a busy delegate in a running stream than at its start."""
+        turn = await self.opened(self.other, start("t1", budget=3 * MAX_TOKENS))
         turn.hand_out(30)
         before = self.delegate.turn_server.answer
 
@@ -463,71 +436,65 @@
                 await asyncio.sleep(0.2)
             return await before(request, send)
 
-        self.answer_with(slow)
+        self.set_delegate_handler(slow)
         self.assertTrue(await turn.cover(30))
         self.assertNotIn("after all", turn.where)
         turn.close()
 
-    async def test_delegate_is_lost_where_little_is_left(self) -> None:
-        """Wait for what a lost delegate claimed for the turn, and go on.
+    async def test_delegate_lost_with_small_budget(self) -> None:
+        """Wait for a lost delegate's claim to expire instead of cutting the stream.
 
-        A budget holds little more than the turn that is open. Its delegate is lost
-        with a third of the turn granted; what it claimed for the rest still stands
-        for a while, and leaves no room for the same rest here. The stream must
-        not be cut for that.
+        The budget has no room for that claim and the same reservation here.
         """
-        turn = await self.opened(self.other, start("t1", budget=MOST + 40))
+        turn = await self.opened(self.other, start("t1", budget=MAX_TOKENS + 40))
         turn.hand_out(30)
 
         async def forgotten(request: Request, send: Send) -> Reply:
             return failure_reply("not open here")
 
-        self.answer_with(forgotten)
+        self.set_delegate_handler(forgotten)
         with mock.patch.object(budgets_module, "RETURN_BOUND", 0.5):
             self.assertTrue(await turn.cover(70))
         turn.close()
 
-    async def test_budget_over_both(self) -> None:
-        """Hand out no more than the budget through both, the delegate lost midway.
+    async def test_budget_across_gateway_and_delegate(self) -> None:
+        """Stay within the budget if the delegate is lost between turns.
 
-        The first turns run on the delegate's account. Then it stops answering,
-        and the other one keeps an account of its own. What was granted to the
-        delegate counts.
+        The tokens granted to the delegate count for the gateway's own account.
         """
         handed = 0
         for number in range(4):
             turn = await self.opened(self.other, start(f"t{number}", kept=False))
-            turn.hand_out(MOST)
-            handed += MOST
+            turn.hand_out(MAX_TOKENS)
+            handed += MAX_TOKENS
             turn.close()
 
         async def frozen(request: Request, send: Send) -> Reply:
             await asyncio.Event().wait()
             raise AssertionError
 
-        self.answer_with(frozen)
+        self.set_delegate_handler(frozen)
         for number in range(20):
             found = await self.other.turns.open(start(f"u{number}", kept=False))
             if isinstance(found, Lookup | BudgetVerdict):
                 break
             if await found.verdict() is BudgetVerdict.FITS:
-                found.hand_out(MOST)
-                handed += MOST
+                found.hand_out(MAX_TOKENS)
+                handed += MAX_TOKENS
             found.close()
         self.assertLessEqual(handed, BUDGET)
 
-    async def test_earlier_turn_asks_for_more(self) -> None:
-        """Hand out no more than the log grants where an earlier turn asks for more.
+    async def test_concurrent_turns_share_no_grant(self) -> None:
+        """Never cover a turn with tokens that were granted to a concurrent one.
 
-        Little is left of the budget, so each of two turns at the delegate holds a part.
-        The store goes away, and the earlier one was covered by what was granted for
-        the later one, whose gateway hands that out unasked: 98 tokens went out and 68
-        were granted. Whoever follows a delegate that is lost then counts 68, and the
-        program is handed more than its budget.
+        With the store down, both turns could otherwise use the same tokens, and more
+        than the log grants would go out.
         """
-        budget = int(3.9 * MOST)
+        budget = int(3.9 * MAX_TOKENS)
         turns = [
-            await self.opened(self.other, start(name, budget=budget, lifetime=PATIENCE))
+            await self.opened(
+                self.other, start(name, budget=budget, lifetime=TEST_TIMEOUT)
+            )
             for name in ("t1", "t2")
         ]
         self.delegate.client.faults.down = True
@@ -539,23 +506,20 @@
                 handed += tokens
         self.assertLessEqual(handed, await self.granted(self.delegate))
 
-    async def test_gateway_dies_within_a_turn(self) -> None:
-        """Count a turn at its most whose gateway never tells its end.
-
-        How much of it reached the caller nobody knows.
-        """
+    async def test_gateway_lost_during_turn(self) -> None:
+        """Count a whole turn as used if its gateway never reports the end."""
         await self.opened(self.other, start("t1", kept=False))
         handler = logbook.TestHandler()
         with handler.applicationbound():
-            await self.ended_at_delegate(within=PATIENCE)
+            await self.wait_until_closed(within=TEST_TIMEOUT)
         turn = await self.opened(self.delegate, start("t2", kept=False))
-        self.assertEqual(turn.spent, MOST)
+        self.assertEqual(turn.spent, MAX_TOKENS)
         lines = "\n".join(handler.formatted_records)
         self.assertIn("turn t1 of program was never ended by its gateway", lines)
         self.assertIn("100 tokens count as used", lines)
 
-    async def test_caller_leaves_while_a_turn_opens(self) -> None:
-        """Count nothing for a caller that left before its turn was opened."""
+    async def test_caller_leaves_during_open(self) -> None:
+        """Count nothing for a caller that leaves before its turn is open."""
         self.delegate.client.faults.delay = 0.05
         opening = asyncio.create_task(self.other.turns.open(start("t1", kept=False)))
         await asyncio.sleep(0.03)
@@ -566,8 +530,8 @@
         turn = await self.opened(self.delegate, start("t2", kept=False))
         self.assertEqual(turn.spent, 0)
 
-    async def test_delegate_stops(self) -> None:
-        """Open nothing at a delegate that stops, and end what is open there."""
+    async def test_stopping_delegate(self) -> None:
+        """Open no turns at a stopping delegate, but commit those that are open."""
         first = await self.opened(self.other, start("t1"))
         self.delegate.turn_server.stopping = True
         second = await self.opened(self.other, start("t2"))
@@ -576,12 +540,8 @@
         await first.commit(b"in", b"out")
         self.assertEqual(self.delegate.turn_server.open_turns, 0)
 
-    async def test_store_away(self) -> None:
-        """Go on inside what the delegate was granted while the store is away.
-
-        The store goes down between two turns of a program whose turns come
-        through both processes. Neither can have tokens granted any more.
-        """
+    async def test_store_down(self) -> None:
+        """Serve turns from the delegate's grant while the store is down."""
         first = await self.opened(self.other, start("t0", kept=False))
         first.hand_out(10)
         first.close()
@@ -600,23 +560,23 @@
 
 
 class LateDelegateTests(DelegatesTestCase):
-    """Return what a delegate holds for a turn whose gateway has gone elsewhere."""
+    """Test that a late delegate releases turns that continued elsewhere."""
 
-    def late(self, kind: type[Request]) -> None:
-        """Have the delegate do what it is asked at once and say so too late."""
+    def reply_late(self, kind: type[Request]) -> None:
+        """Make the delegate handle a kind of request but reply too late."""
         before = self.delegate.turn_server.answer
 
         async def answer(request: Request, send: Send) -> Reply:
             if not isinstance(request, kind):
                 return await before(request, send)
-            work = asyncio.create_task(before(request, unheard))
-            await asyncio.sleep(LATE)
+            work = asyncio.create_task(before(request, discard_reply))
+            await asyncio.sleep(LATE_REPLY_DELAY)
             return await work
 
-        self.answer_with(answer)
+        self.set_delegate_handler(answer)
 
-    def deaf(self, kind: type[Request]) -> None:
-        """Have the delegate neither do nor answer what it is first asked."""
+    def ignore_first(self, kind: type[Request]) -> None:
+        """Make the delegate ignore the first request of a kind."""
         before = self.delegate.turn_server.answer
         missed: list[Request] = []
 
@@ -626,73 +586,59 @@
                 await asyncio.Event().wait()
             return await before(request, send)
 
-        self.answer_with(answer)
+        self.set_delegate_handler(answer)
 
     async def spent(self) -> int:
-        """Return what a process counts as spent that reads the log anew."""
+        """Return the spent tokens, as a fresh reader of the log sees them."""
         return await self.granted(self.delegate, self.other)
 
-    async def settled(self, tokens: int) -> None:
-        """Wait until the log counts so many tokens as spent, for a while."""
-        deadline = asyncio.get_running_loop().time() + SETTLE_TIME
+    async def wait_until_spent(self, tokens: int) -> None:
+        """Wait until the log counts `tokens` as spent, or fail."""
+        deadline = asyncio.get_running_loop().time() + RETRY_LIMIT
         while await self.spent() != tokens:
             if asyncio.get_running_loop().time() > deadline:
                 self.assertEqual(await self.spent(), tokens)
             await asyncio.sleep(0.05)
 
-    async def test_turn_opened_too_late_is_returned(self) -> None:
-        """Serve a caller that comes back after its turn was opened too late.
-
-        All machines have just started again, and a program whose budget holds
-        little more than a turn goes on from a kept one. The delegate of its account
-        is busy and says its first word too late; the gateway keeps the account
-        itself. The delegate opens the turn all the same and holds the budget for it,
-        so the caller is told to come back for as long as the turn might have run.
-        Of five such turns in half a minute three were `kept here` and committed at
-        their gateway, while their delegate wrote six seconds later that the turn `was
-        never ended by its gateway`.
+    async def test_late_open_is_released(self) -> None:
+        """Serve a retry after the delegate opened a turn too late.
+
+        The late turn must not hold the budget for its whole lifetime.
         """
-        self.late(OpenTurnRequest)
-        budget = int(1.6 * MOST)
+        self.reply_late(OpenTurnRequest)
+        budget = int(1.6 * MAX_TOKENS)
         found: OpenTurn | Lookup | BudgetVerdict = BudgetVerdict.HELD
-        for number in range(TRIES):
-            begun = start(f"t{number}", budget=budget, lifetime=PATIENCE)
+        for number in range(MAX_ATTEMPTS):
+            begun = start(f"t{number}", budget=budget, lifetime=TEST_TIMEOUT)
             found = await self.other.turns.open(begun)
             if isinstance(found, LocalTurn | DelegatedTurn):
                 break
-            await asyncio.sleep(HELD_RETRY)
+            await asyncio.sleep(RETRY_DELAY)
         self.assertIsInstance(found, LocalTurn | DelegatedTurn)
 
-    async def test_turns_opened_too_late_are_not_spent(self) -> None:
-        """Refuse no program for turns that were opened too late.
+    async def test_late_opens_count_as_unused(self) -> None:
+        """Count turns that were opened too late as unused.
 
-        The delegate is late for two tries in a row. When their time was over it
-        counted what it had held for them as handed out. Nothing had reached the
-        caller, and each further try was told that the budget is spent: 402 for
-        the rest of fifteen seconds, in 37 tries.
+        Counted as used, they would exhaust the budget and refuse every retry.
         """
-        self.late(OpenTurnRequest)
-        budget = int(1.6 * MOST)
+        self.reply_late(OpenTurnRequest)
+        budget = int(1.6 * MAX_TOKENS)
         for number in range(2):
             found = await self.other.turns.open(start(f"t{number}", budget=budget))
             if isinstance(found, LocalTurn | DelegatedTurn):
                 found.close()
             await asyncio.sleep(3 * LIFETIME)
             self.other.delegates.peer_health = PeerHealth()
-        await self.settled(0)
+        await self.wait_until_spent(0)
         found = await self.other.turns.open(start("t2", budget=budget))
         self.assertIsInstance(found, LocalTurn | DelegatedTurn)
 
-    async def test_turn_confirmed_too_late_is_returned(self) -> None:
-        """Count a turn once whose delegate was late to say that it is granted.
+    async def test_late_confirmation_is_released(self) -> None:
+        """Count a turn once if its delegate confirms the grant too late.
 
-        The engine works on the turn already when its gateway asks the delegate
-        whether the grant stands. No answer comes in time, so the gateway has the
-        turn granted to itself. The delegate counted its own grant as handed out
-        besides: two turns opened so were found in half a minute after a restart of
-        all, `kept at` their delegate, answered, and `never ended by its gateway`.
+        The gateway reserves the turn locally; the delegate must release its grant.
         """
-        self.late(ConfirmTurnRequest)
+        self.reply_late(ConfirmTurnRequest)
         turn = await self.opened(self.other, start("t1", kept=False))
         self.assertIn("after all", turn.where)
         turn.hand_out(10)
@@ -700,150 +646,131 @@
         await asyncio.sleep(2 * LIFETIME)
         self.other.ledger._budgets.give_back_all()
         self.delegate.ledger._budgets.give_back_all()
-        await self.settled(10)
+        await self.wait_until_spent(10)
 
-    async def test_end_is_told_where_the_commit_was_not(self) -> None:
-        """Count what a turn handed out whose delegate did not hear of its end.
+    async def test_end_reported_after_missed_commit(self) -> None:
+        """Count only used tokens if the delegate missed the commit.
 
-        The delegate is frozen when it is to commit the turn. The gateway writes the
-        turn itself. The delegate wakes with the turn open and counted it at its most.
+        The gateway writes the turn itself and reports the end to the delegate.
         """
-        turn = await self.opened(self.other, start("t1", lifetime=PATIENCE))
-        self.deaf(CommitTurnRequest)
+        turn = await self.opened(self.other, start("t1", lifetime=TEST_TIMEOUT))
+        self.ignore_first(CommitTurnRequest)
         turn.announce()
         turn.hand_out(10)
         await turn.commit(b"in", b"out")
         turn.close()
-        await self.ended_at_delegate(within=SETTLE_TIME)
+        await self.wait_until_closed(within=RETRY_LIMIT)
         self.delegate.ledger._budgets.give_back_all()
-        await self.settled(10)
+        await self.wait_until_spent(10)
 
-    async def test_end_that_is_lost_is_told_again(self) -> None:
-        """Tell the end of a turn again whose first message was lost.
-
-        The connection to the delegate breaks just as a turn ends. It was told once
-        only, and the delegate counted the turn at its most.
-        """
-        turn = await self.opened(self.other, start("t1", kept=False, lifetime=PATIENCE))
-        self.deaf(CloseTurnRequest)
+    async def test_lost_end_report_is_retried(self) -> None:
+        """Retry a lost end report, so that the turn is not counted in full."""
+        turn = await self.opened(
+            self.other, start("t1", kept=False, lifetime=TEST_TIMEOUT)
+        )
+        self.ignore_first(CloseTurnRequest)
         turn.hand_out(10)
         turn.close()
-        await self.ended_at_delegate(within=SETTLE_TIME)
+        await self.wait_until_closed(within=RETRY_LIMIT)
         self.delegate.ledger._budgets.give_back_all()
-        await self.settled(10)
-
-    async def test_end_that_overtakes_the_beginning(self) -> None:
-        """Open no turn whose end has come already.
+        await self.wait_until_spent(10)
 
-        A link that was silent is made anew, and what waits in the old one can be
-        read after what came through the new one. The delegate would hold a turn that
-        nobody ends.
-        """
+    async def test_end_overtakes_open(self) -> None:
+        """Refuse to open a turn whose end arrived first, after a reconnect."""
         server = self.delegate.turn_server
         opening = OpeningId("1")
-        await server.answer(CloseTurnRequest(opening=opening, handed=0), unheard)
+        await server.answer(CloseTurnRequest(opening=opening, handed=0), discard_reply)
         begin = OpenTurnRequest(opening=opening, start=start("t1"))
-        reply = await server.answer(begin, unheard)
+        reply = await server.answer(begin, discard_reply)
         self.assertIsInstance(reply, Failed)
         self.assertEqual(server.open_turns, 0)
 
 
 class LostGatewayTests(DelegatesTestCase):
-    """Serve a caller whose gateway was lost with a turn open at the delegate."""
+    """Test callers that return after their gateway was lost during a turn."""
 
     def begun(self, turn: str, *, session: str = "line") -> TurnStart:
-        """Return the start of a turn of which the budget holds one and a half."""
-        return start(turn, kept=False, budget=SMALL, lifetime=PATIENCE, session=session)
+        """Return the start of a turn under the small budget."""
+        return start(
+            turn,
+            kept=False,
+            budget=SMALL_BUDGET,
+            lifetime=TEST_TIMEOUT,
+            session=session,
+        )
 
     async def test_caller_comes_back_through_another_gateway(self) -> None:
-        """Serve a caller at once that comes back after its gateway was lost.
+        """Serve a caller that returns through another gateway at once.
 
-        A gateway is killed with a turn open at the delegate of the account. Nobody
-        tells the end. The caller's connection breaks, and it comes back through
-        another gateway. Its budget holds a turn beside what the first was covered
-        for, but the delegate held the first one's most until its time was over: the
-        caller was told to come back until its tries were used up.
+        The delegate must hold only the initial grant of the abandoned turn, not all
+        that it might have used.
         """
         await self.opened(self.other, self.begun("t1"))
         turn = await self.opened(self.other, self.begun("t2"))
         self.assertIsInstance(turn, DelegatedTurn)
 
     async def test_caller_comes_back_through_the_delegate(self) -> None:
-        """Serve a caller at once that comes back to the delegate itself."""
+        """Serve a caller that returns to the delegate itself at once."""
         await self.opened(self.other, self.begun("t1"))
         await self.opened(self.delegate, self.begun("t2"))
 
-    async def test_lost_turn_counts_as_far_as_it_was_covered(self) -> None:
-        """Count what a lost gateway may have handed out, once the turn's time is over.
-
-        How much of it reached the caller nobody knows.
-        """
-        begun = start("t1", kept=False, budget=SMALL, session="line")
+    async def test_lost_turn_counts_whole_grant(self) -> None:
+        """Count the whole grant of a lost turn as used when it expires."""
+        begun = start("t1", kept=False, budget=SMALL_BUDGET, session="line")
         await self.opened(self.other, begun)
-        await self.run_whole(await self.opened(self.other, self.begun("t2")))
-        await self.ended_at_delegate(within=PATIENCE)
-        self.assertEqual(self.delegate.ledger.spent(begun.terms), COVERED + MOST)
+        await self.use_all_tokens(await self.opened(self.other, self.begun("t2")))
+        await self.wait_until_closed(within=TEST_TIMEOUT)
+        self.assertEqual(
+            self.delegate.ledger.spent(begun.terms), INITIAL_GRANT + MAX_TOKENS
+        )
 
-    async def test_gateway_lives_after_all(self) -> None:
-        """Cut no newer turn for an earlier one whose gateway was only frozen.
+    async def test_frozen_gateway_resumes(self) -> None:
+        """Limit an earlier turn to what the newer one leaves of the budget.
 
-        It wakes and goes on for a caller that has left. It hands out what it was
-        covered for, and no more than what the newer one leaves of the budget.
+        The gateway of the earlier turn was frozen and continues it after waking.
         """
         earlier = await self.opened(self.other, self.begun("t1"))
         newer = await self.opened(self.other, self.begun("t2"))
-        self.assertTrue(await earlier.cover(COVERED))
-        earlier.hand_out(COVERED)
+        self.assertTrue(await earlier.cover(INITIAL_GRANT))
+        earlier.hand_out(INITIAL_GRANT)
         for _ in range(2):
-            self.assertTrue(await earlier.cover(BESIDE // 2))
-            earlier.hand_out(BESIDE // 2)
+            self.assertTrue(await earlier.cover(BUDGET_LEFT // 2))
+            earlier.hand_out(BUDGET_LEFT // 2)
         self.assertFalse(await earlier.cover(1))
         self.assertEqual(self.other.delegates.delegate_of(PROGRAM), self.delegate.name)
-        await self.run_whole(newer)
-
-    async def test_gateway_goes_on_when_the_newer_turn_has_ended(self) -> None:
-        """Cut no turn that its budget holds, though its caller began another.
+        await self.use_all_tokens(newer)
 
-        A caller that asked twice and still listens to the first is served by it, once
-        the second has returned what it did not use.
-        """
+    async def test_earlier_turn_continues_after_newer_one(self) -> None:
+        """Let an earlier turn use what the newer one of its caller returned."""
         earlier = await self.opened(self.other, self.begun("t1"))
         newer = await self.opened(self.other, self.begun("t2"))
         newer.hand_out(10)
         newer.close()
-        await self.run_whole(earlier)
-
-    async def test_end_of_the_earlier_turn_comes_late(self) -> None:
-        """Count exactly a turn whose end comes after the next one has begun.
+        await self.use_all_tokens(earlier)
 
-        The caller has the whole answer and goes on through another gateway, faster
-        than the first one tells the delegate.
-        """
+    async def test_late_end_of_earlier_turn(self) -> None:
+        """Count exact usage if a turn's end arrives after the next one began."""
         earlier = await self.opened(self.other, self.begun("t1"))
         earlier.hand_out(10)
         newer = await self.opened(self.other, self.begun("t2"))
         earlier.close()
-        await self.run_whole(newer)
-        await self.ended_at_delegate(within=PATIENCE)
+        await self.use_all_tokens(newer)
+        await self.wait_until_closed(within=TEST_TIMEOUT)
         spent = self.delegate.ledger.spent(self.begun("t1").terms)
-        self.assertEqual(spent, 10 + MOST)
-
-    async def test_beginning_of_an_earlier_turn_comes_late(self) -> None:
-        """Go on with a turn although an older beginning came after its own.
+        self.assertEqual(spent, 10 + MAX_TOKENS)
 
-        A machine that was cut off is reached again: the delegate reads the beginning of
-        a turn that its caller has given up, and then its end.
-        """
+    async def test_late_open_of_earlier_turn(self) -> None:
+        """Continue a turn although the opening of an abandoned one arrives late."""
         newer = await self.opened(self.other, self.begun("t2"))
         late = await self.opened(self.other, self.begun("t1"))
-        newer.hand_out(COVERED)
-        asking = asyncio.create_task(newer.cover(MOST - COVERED))
-        await asyncio.sleep(LATE)
+        newer.hand_out(INITIAL_GRANT)
+        asking = asyncio.create_task(newer.cover(MAX_TOKENS - INITIAL_GRANT))
+        await asyncio.sleep(LATE_REPLY_DELAY)
         late.close()
         self.assertTrue(await asking)
 
-    async def test_turns_of_other_sessions_keep_their_claim(self) -> None:
-        """Give up no turn of a sub-agent, nor one whose caller names no session."""
+    async def test_other_sessions_keep_their_grant(self) -> None:
+        """Release turns of the same session only, and none without a session."""
         for first, second in (("line", "other"), ("", "")):
             with self.subTest(first=first, second=second):
                 begun = self.begun(f"t-{first}", session=first)
@@ -851,10 +778,10 @@
                 found = await self.other.turns.open(self.begun("t2", session=second))
                 self.assertIs(found, BudgetVerdict.HELD)
                 earlier.close()
-                await self.ended_at_delegate(within=PATIENCE)
+                await self.wait_until_closed(within=TEST_TIMEOUT)
 
-    async def test_process_that_knows_no_sessions(self) -> None:
-        """Take up a turn from a process that names no session."""
+    async def test_request_without_session(self) -> None:
+        """Accept a turn request without the session field."""
         opening = OpeningId("1")
         request = OpenTurnRequest(opening=opening, start=self.begun("t1"))
         raw = msgspec.msgpack.decode(encode(request))
@@ -863,13 +790,13 @@
         assert isinstance(found, OpenTurnRequest)
         self.assertEqual(found.start.terms.session, "")
 
-    async def run_whole(self, turn: OpenTurn) -> None:
-        """Hand out the most of a turn by events, and end it."""
+    async def use_all_tokens(self, turn: OpenTurn) -> None:
+        """Use all tokens of a turn in ten steps and close it."""
         for _ in range(10):
-            self.assertTrue(await turn.cover(MOST // 10))
-            turn.hand_out(MOST // 10)
+            self.assertTrue(await turn.cover(MAX_TOKENS // 10))
+            turn.hand_out(MAX_TOKENS // 10)
         turn.close()
 
 
-async def unheard(reply: Reply) -> None:
-    """Take a reply that reaches nobody."""
+async def discard_reply(reply: Reply) -> None:
+    """Discard a reply."""
--- a/sequoiaarch/tests/fleet/late_ends_tests.py
+++ b/sequoiaarch/tests/fleet/late_ends_tests.py
@@ -1,4 +1,4 @@
-"""Test ends of turns that come while a delegate still works on them."""
+"""Test ends of turns that arrive while a delegate handles other requests."""
 
 from __future__ import annotations
 
@@ -22,26 +22,24 @@
 )
 from ..ledger.lending import SlowLender
 from .delegates_tests import (
-    MOST,
-    PATIENCE,
+    MAX_TOKENS,
     PROGRAM,
-    SETTLE_TIME,
+    RETRY_LIMIT,
+    TEST_TIMEOUT,
     DelegatesTestCase,
+    discard_reply,
     start,
-    unheard,
 )
 
 
 class LateEndTests(unittest.IsolatedAsyncioTestCase):
-    """End turns while their delegate works on a request about them."""
+    """Test ends that arrive during a request about the same turn."""
 
-    async def test_end_while_the_verdict_is_awaited(self) -> None:
-        """Settle a loan that a turn gets after it has ended.
+    async def test_end_during_verdict(self) -> None:
+        """Settle a loan that is granted after its turn has ended.
 
-        The store is slow. A gateway asks whether the turn is granted and its caller
-        leaves, or it hears nothing in time and goes on by itself: the turn's end
-        comes while the delegate still waits for the log. The delegate borrows
-        for the ended turn, and nobody settles that.
+        With a slow store, the end can arrive while the delegate waits for a verdict
+        and then borrows for the ended turn.
         """
         store = KeyedStore()
         client = store.client()
@@ -54,13 +52,13 @@
         client.faults.delay = 2.0
         opening = OpeningId("1")
         begin = OpenTurnRequest(opening=opening, start=start("t1"))
-        opened = await server.answer(begin, unheard)
+        opened = await server.answer(begin, discard_reply)
         assert isinstance(opened, TurnOpened), opened
         self.assertFalse(opened.granted)
         confirm = ConfirmTurnRequest(opening=opening)
-        asked = asyncio.create_task(server.answer(confirm, unheard))
+        asked = asyncio.create_task(server.answer(confirm, discard_reply))
         await lender.asked.wait()
-        await server.answer(CloseTurnRequest(opening=opening, handed=0), unheard)
+        await server.answer(CloseTurnRequest(opening=opening, handed=0), discard_reply)
         lender.answer.set()
         await asked
         self.assertTrue(lender.loans)
@@ -70,19 +68,16 @@
 
 
 class SameIdTests(DelegatesTestCase):
-    """Use the id of a turn once more."""
+    """Test turns that reuse an id."""
 
-    async def test_end_of_an_earlier_try_with_the_same_id(self) -> None:
-        """Exceed no budget where a caller uses the id of its turn again.
+    async def test_late_end_report_of_reused_id(self) -> None:
+        """Stay within the budget if a caller reuses the id of its turn.
 
-        A try was opened too late, and its gateway tells the delegate until that hears
-        it. The caller comes back under the same id through another gateway. What was
-        told of the first try ended the second, whose gateway went on with what it
-        was told to be covered: 134 tokens of a budget of 100 went out. Callers owe an
-        id of its own to each request; nothing checks that.
+        A late end report of the first attempt must not close the second one, which
+        still uses its grant.
         """
         server = self.delegate.turn_server
-        begun = start("t1", lifetime=PATIENCE, budget=MOST)
+        begun = start("t1", lifetime=TEST_TIMEOUT, budget=MAX_TOKENS)
         heard = asyncio.Event()
         again = asyncio.Event()
         told = asyncio.Event()
@@ -96,30 +91,30 @@
                 await asyncio.Event().wait()
             return await server.answer(request, send)
 
-        self.answer_with(answer)
+        self.set_delegate_handler(answer)
         first = await self.other.turns.open(begun)
         assert isinstance(first, LocalTurn)
         first.close()
         await self.other.ledger.flush()
         await heard.wait()
-        # The caller comes back with the same id, through a gateway that reaches it.
+        # The caller retries with the same id through another gateway.
         again_begun = OpenTurnRequest(opening=OpeningId("another/1"), start=begun)
-        opened = await server.answer(again_begun, unheard)
+        opened = await server.answer(again_begun, discard_reply)
         assert isinstance(opened, TurnOpened), opened
         assert opened.covered is not None
         handed = opened.covered
         again.set()
-        async with asyncio.timeout(SETTLE_TIME):
+        async with asyncio.timeout(RETRY_LIMIT):
             while not told.is_set():
                 await asyncio.sleep(0.01)
-        self.assertEqual(server.open_turns, 1, "the end was another turn's")
+        self.assertEqual(server.open_turns, 1, "the end report closed another turn")
         await self.delegate.ledger.flush()
         second = await self.delegate.turns.open(
-            start("t2", lifetime=PATIENCE, budget=MOST)
+            start("t2", lifetime=TEST_TIMEOUT, budget=MAX_TOKENS)
         )
         if isinstance(second, LocalTurn):
-            while handed <= 2 * MOST and await second.cover(10):
+            while handed <= 2 * MAX_TOKENS and await second.cover(10):
                 second.hand_out(10)
                 handed += 10
             second.close()
-        self.assertLessEqual(handed, MOST)
+        self.assertLessEqual(handed, MAX_TOKENS)
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -1,4 +1,4 @@
-"""Test turns that are covered by a lender while the store is away."""
+"""Test turns that run on loans while the store is down."""
 
 from __future__ import annotations
 
@@ -48,16 +48,16 @@
     SettleRequest,
     TurnOpened,
 )
-from .delegates_tests import NoStore
+from .delegates_tests import FailingStoreCaller
 
 PROGRAM = ProgramId("program")
 BUDGET = 2000
-MOST = 100
-PATIENCE = 10.0
+MAX_TOKENS = 100
+TEST_TIMEOUT = 10.0
 RETENTION = 60.0
 
 
-def start(turn: str, *, most: int = MOST, budget: int = BUDGET) -> TurnStart:
+def start(turn: str, *, most: int = MAX_TOKENS, budget: int = BUDGET) -> TurnStart:
     """Return the start of a program's first turn."""
     return TurnStart(
         terms=TurnTerms(
@@ -74,7 +74,7 @@
 
 
 class Process:
-    """Hold what one gateway has for turns and loans."""
+    """The parts of a gateway that handle turns and loans."""
 
     def __init__(
         self,
@@ -88,7 +88,7 @@
         self.writer = WriterId(writer or f"writer-{name}")
         self.client = store.client()
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=NoStore()
+            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
         )
         self.peers = Peers(
             context=context,
@@ -132,11 +132,11 @@
         self.server.fallback = self.answer
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Answer a borrower."""
+        """Handle a request of a borrower."""
         return self.lenders.answer(request)
 
-    def parts(self) -> list[asyncio.Task[None]]:
-        """Start to follow the store, to register and to claim."""
+    def start(self) -> list[asyncio.Task[None]]:
+        """Start to follow the store, register, claim slots and serve."""
         followers = [
             TopicFollower(
                 log=self.client,
@@ -159,23 +159,23 @@
 
     @property
     def rank(self) -> int | None:
-        """Return the place for the program; None without a claim."""
+        """Return this process's rank for the program; None without a claim."""
         for lending in self.claims.lenders_of(slot_of(PROGRAM)):
             if lending.writer == self.writer:
                 return lending.rank
         return None
 
 
-class SlowAnswers:
-    """Answer for a lender whose messages come late or are lost."""
+class UnreliableLender:
+    """Makes a lender's messages late or lost."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
-        # Requests to lend are handled so much later. Seconds.
+        # Delay before a loan request is handled. Seconds.
         self.lend_delay = 0.0
-        # Answers to requests to lend come so much later. Seconds.
+        # Delay before the reply to a loan request. Seconds.
         self.answer_delay = 0.0
-        # So many of the next settlements never arrive.
+        # Number of settlements that are dropped.
         self.settlements_lost = 0
         self.settlements = 0
         process.server.fallback = self._answer
@@ -194,10 +194,10 @@
 
 
 class LoanServiceTests(unittest.IsolatedAsyncioTestCase):
-    """Run processes of three data centres over real sockets."""
+    """Test loans between three processes over real sockets."""
 
     async def asyncSetUp(self) -> None:
-        """Start three processes, one of which lends to the program."""
+        """Start three processes and wait until one lends to the program."""
         for name, value in (("FIRST_CLAIM_DELAY", 0.3), ("CLAIM_INTERVAL", 0.1)):
             patch = mock.patch.object(slot_claimer_module, name, value)
             patch.start()
@@ -207,14 +207,16 @@
         self.closing: list[Callable[[], None]] = []
         self.tasks: dict[str, list[asyncio.Task[None]]] = {}
         self.processes = [self.process(name) for name in ("one", "two", "three")]
-        await self.until(lambda: all(self._knows_a_lender(p) for p in self.processes))
+        await self.wait_until(
+            lambda: all(self._knows_lender(p) for p in self.processes)
+        )
         self.lender = next(p for p in self.processes if p.rank == 0)
         self.other = next(p for p in self.processes if p.rank is None)
 
     async def asyncTearDown(self) -> None:
-        """End everything."""
+        """Stop all processes."""
         for name in list(self.tasks):
-            self.end(name)
+            self.kill(name)
         for process in self.processes:
             process.peers.close()
             await process.ledger.close()
@@ -225,75 +227,66 @@
     def process(self, name: str) -> Process:
         """Start a process."""
         process = Process(name=name, context=self.context, store=self.store)
-        self.tasks[name] = process.parts()
+        self.tasks[name] = process.start()
         self.closing.append(process.server.close)
         return process
 
-    def end(self, name: str) -> None:
-        """End a process without a word to anyone."""
+    def kill(self, name: str) -> None:
+        """Kill a process without a planned stop."""
         for task in self.tasks.pop(name):
             task.cancel()
 
-    async def until(self, condition: Callable[[], bool]) -> None:
-        """Wait until something holds."""
-        async with asyncio.timeout(PATIENCE):
+    async def wait_until(self, condition: Callable[[], bool]) -> None:
+        """Wait until a condition holds."""
+        async with asyncio.timeout(TEST_TIMEOUT):
             while not condition():
                 await asyncio.sleep(0.01)
 
-    def take_store_away(self) -> None:
-        """Have the store answer nobody."""
+    def stop_store(self) -> None:
+        """Make the store unreachable for all processes."""
         for process in self.processes:
             process.client.faults.down = True
 
-    async def lent(self, process: Process, turn: str, *, most: int = MOST) -> LocalTurn:
-        """Open a turn, which must be covered by a loan."""
+    async def open_on_loan(
+        self, process: Process, turn: str, *, most: int = MAX_TOKENS
+    ) -> LocalTurn:
+        """Open a turn and assert that a loan covers it."""
         found = await process.turns.open(start(turn, most=most))
         assert isinstance(found, LocalTurn), found
         self.assertIsNotNone(found.covered)
         self.assertIs(await found.verdict(), BudgetVerdict.FITS)
         return found
 
-    def _knows_a_lender(self, process: Process) -> bool:
+    def _knows_lender(self, process: Process) -> bool:
         return bool(process.claims.lenders_of(slot_of(PROGRAM)))
 
-    async def test_program_begins_while_the_store_is_away(self) -> None:
-        """Serve a new program in an outage, through any data centre.
-
-        The store goes away for all. A program begins then, at a gateway that
-        has read nothing of it. The tokens come from the program's lender, and
-        the turn ends once the store is back and has kept it.
-        """
-        self.take_store_away()
-        turn = await self.lent(self.other, "turn-1")
+    async def test_program_starts_while_store_is_down(self) -> None:
+        """Start a new program on a loan; commit when the store is back."""
+        self.stop_store()
+        turn = await self.open_on_loan(self.other, "turn-1")
         turn.hand_out(30)
         commit = asyncio.create_task(turn.commit(b"in", b"out"))
         await asyncio.sleep(0.2)
         self.assertFalse(commit.done())
         for process in self.processes:
             process.client.faults.down = False
-        await asyncio.wait_for(commit, PATIENCE)
+        await asyncio.wait_for(commit, TEST_TIMEOUT)
 
-    async def test_program_begins_beside_another_one_that_is_known(self) -> None:
-        """Lend the whole part to a program that begins in an outage.
+    async def test_program_starts_with_partition_already_read(self) -> None:
+        """Lend the whole turn if only a failed grant shows that the store is down.
 
-        The gateway has read the partition of the log for another program, so
-        it learns only from the grant that can't be written that the store is
-        away. The lender must not have given its part over by then.
+        The gateway has read the log partition before, for another program.
         """
         await self.other.ledger.partition(PROGRAM).sync()
-        self.take_store_away()
+        self.stop_store()
         turn = await self.other.turns.open(start("turn-1", most=300))
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
         self.assertEqual(turn.covered, 300)
 
-    async def test_program_that_loops_gets_the_lent_part_at_most(self) -> None:
-        """Stop a program that loops in an outage, whoever it asks.
-
-        Its sub-agents arrive at all gateways at once, and each turn hands out
-        all that it may. Together they get what the lender's place allows.
-        """
-        self.take_store_away()
+    async def test_looping_program_is_limited(self) -> None:
+        """Limit a looping program to its lendable part over all gateways."""
+        self.stop_store()
         handed = 0
         for number in range(12):
             process = self.processes[number % 3]
@@ -307,152 +300,131 @@
                 self.assertIs(opened, BudgetVerdict.UNCERTAIN)
         self.assertEqual(handed, PartLent().lent(BUDGET, 0))
 
-    async def test_turns_that_use_little_go_on(self) -> None:
-        """Lend again what turns did not use, for as long as the outage lasts."""
-        self.take_store_away()
+    async def test_unused_tokens_are_lent_again(self) -> None:
+        """Lend unused tokens again during an outage."""
+        self.stop_store()
         for number in range(6):
-            turn = await self.lent(self.other, f"turn-{number}", most=200)
+            turn = await self.open_on_loan(self.other, f"turn-{number}", most=200)
             turn.hand_out(40)
             turn.close()
-            await self.until(lambda: not self._owes())
+            await self.wait_until(lambda: not self._has_open_loans())
 
-    def _owes(self) -> bool:
+    def _has_open_loans(self) -> bool:
         accounts = self.lender.book._accounts.values()
         return any(account.open for account in accounts)
 
-    async def test_program_under_way_when_the_store_goes_away(self) -> None:
-        """Go on in an outage with what the lender has.
-
-        The program began while the store was there, and the log can grant it
-        nothing now. The lender's part is still there for it.
-        """
+    async def test_running_program_continues_on_loans(self) -> None:
+        """Continue on loans a program that began before the outage."""
         opened = await self.other.turns.open(start("turn-1"))
         assert isinstance(opened, LocalTurn)
         self.assertIs(await opened.verdict(), BudgetVerdict.FITS)
         opened.hand_out(30)
         opened.close()
-        self.take_store_away()
+        self.stop_store()
         for number in (2, 3, 4):
             turn = await self.other.turns.open(start(f"turn-{number}"))
             assert isinstance(turn, LocalTurn)
             self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
             turn.hand_out(30)
             turn.close()
-            await self.until(lambda: not self._owes())
+            await self.wait_until(lambda: not self._has_open_loans())
 
-    async def test_loan_is_raised_or_the_turn_broken_off(self) -> None:
-        """Hand out no token beyond a loan that covers a part of a turn."""
-        self.take_store_away()
-        first = await self.lent(self.other, "turn-1", most=200)
-        second = await self.lent(self.other, "turn-2", most=300)
+    async def test_partial_loan_is_increased(self) -> None:
+        """Use no token beyond a partial loan until it is increased."""
+        self.stop_store()
+        first = await self.open_on_loan(self.other, "turn-1", most=200)
+        second = await self.open_on_loan(self.other, "turn-2", most=300)
         self.assertEqual(second.covered, 175)
         second.hand_out(170)
         self.assertFalse(await second.cover(10))
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
+        await self.wait_until(
+            lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150
+        )
         self.assertTrue(await second.cover(10))
 
-    async def test_loan_that_is_used_up_goes_on_in_the_log(self) -> None:
-        """Let a turn go on that was lent too little, once the store is back."""
-        self.take_store_away()
-        await self.lent(self.other, "turn-1", most=200)
-        turn = await self.lent(self.other, "turn-2", most=300)
+    async def test_used_up_loan_continues_in_log(self) -> None:
+        """Continue a turn from the log after its loan is used up."""
+        self.stop_store()
+        await self.open_on_loan(self.other, "turn-1", most=200)
+        turn = await self.open_on_loan(self.other, "turn-2", most=300)
         turn.hand_out(170)
         for process in self.processes:
             process.client.faults.down = False
         self.assertTrue(await turn.cover(10))
         self.assertIsNone(turn.covered)
 
-    async def test_store_goes_away_between_two_raises(self) -> None:
-        """Go on with a loan where the log can't raise what a turn holds.
-
-        A program with a small budget has a part of its turn granted. The store
-        goes away for all while the turn runs, and the turn needs more. The
-        lender covers the rest, and the caller notices nothing.
-        """
+    async def test_store_down_between_grants(self) -> None:
+        """Continue a partly granted turn on a loan if the store goes down."""
         turn = await self.other.turns.open(start("turn-1", budget=600, most=300))
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
         self.assertEqual(turn.covered, 100)
         turn.hand_out(90)
-        self.take_store_away()
+        self.stop_store()
         self.assertTrue(await turn.cover(60))
         self.assertIn("lent", turn.where)
         turn.hand_out(60)
         turn.close()
-        await self.until(lambda: not self._owes())
+        await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 60})
 
-    async def test_stream_waits_where_nobody_covers_it(self) -> None:
-        """Hold an event until the store is back rather than break the stream.
-
-        The store goes away between two raises of a turn, and the lender has
-        less than the turn needs. The caller bears a pause of two seconds; the
-        store is back before that.
-        """
+    async def test_stream_waits_for_store(self) -> None:
+        """Pause a stream through a short outage that no loan covers."""
         turn = await self.other.turns.open(start("turn-1", budget=600, most=500))
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
         turn.hand_out(160)
-        self.take_store_away()
+        self.stop_store()
         covering = asyncio.create_task(turn.cover(200))
         await asyncio.sleep(0.5)
         self.assertFalse(covering.done())
         for process in self.processes:
             process.client.faults.down = False
-        self.assertTrue(await asyncio.wait_for(covering, PATIENCE))
+        self.assertTrue(await asyncio.wait_for(covering, TEST_TIMEOUT))
 
-    async def test_lender_that_was_suspended_lends_nothing(self) -> None:
-        """Have nobody lend on a claim that may have been given to others.
+    async def test_suspended_lender_lends_nothing(self) -> None:
+        """Lend nothing after a suspension longer than the lending lease.
 
-        A machine sleeps for longer than a claim lasts without being seen. Its
-        process wakes and has not read the store yet; its place may be another's.
+        The claim may have been removed meanwhile and its rank taken by another process.
         """
-        self.take_store_away()
+        self.stop_store()
         self.lender.now = LENDING_LEASE + 1
         refused = await self.other.turns.open(start("turn-1"))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
 
-    async def test_lender_is_lost(self) -> None:
-        """Refuse with the reason that is true where the lender is gone.
-
-        The lender dies with the store away. What it had lent counts as handed
-        out, and nobody can know how much that is before it is replaced.
-        """
-        self.take_store_away()
-        self.end(str(self.lender.name))
+    async def test_lender_and_store_down(self) -> None:
+        """Refuse with an uncertain budget if the lender and the store are down."""
+        self.stop_store()
+        self.kill(str(self.lender.name))
         self.lender.server.close()
         refused = await self.other.turns.open(start("turn-1"))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
 
-    async def test_machine_that_is_gone_for_good_is_replaced(self) -> None:
-        """Have another process lend where the lender's machine never returns.
+    async def test_lost_host_is_replaced(self) -> None:
+        """Claim the slots of a lost host that is still registered.
 
-        The machine is removed without a word, so it stays registered. The
-        others learn that from the requests that it doesn't answer, and one of
-        them claims what fell to it before the next outage.
+        The others detect the loss by requests that get no reply.
         """
-        self.end(str(self.lender.name))
+        self.kill(str(self.lender.name))
         self.lender.server.close()
         left = [one for one in self.processes if one is not self.lender]
         for process in left:
             for _ in range(GONE_FAILURES):
                 process.peer_health._until.clear()
                 process.peer_health.record_failure(self.lender.name, "no reply")
-        await self.until(lambda: any(one.rank == 1 for one in left))
-        await self.until(
+        await self.wait_until(lambda: any(one.rank == 1 for one in left))
+        await self.wait_until(
             lambda: len(self.other.claims.lenders_of(slot_of(PROGRAM))) == 2
         )
-        self.take_store_away()
-        await self.lent(self.other, "turn-1", most=90)
+        self.stop_store()
+        await self.open_on_loan(self.other, "turn-1", most=90)
 
-    async def test_claim_of_a_registered_process_is_never_removed(self) -> None:
-        """Keep a lender's claim where only this process can't reach it.
+    async def test_claim_of_registered_process_is_kept(self) -> None:
+        """Keep the claim of a lender that only this process can't reach.
 
-        The path between two gateways is cut for hours. The lender reaches the
-        store, sees its claim and registration there, and lends to others. If
-        its claim were removed, the next process would take over its place and
-        lend the same tokens to a program that comes back.
+        Removing it would give its rank to another process, and both would lend the
+        same tokens.
         """
         clock = mock.Mock(return_value=0.0)
         self.other.claimer.expiry = ClaimExpiry(clock=clock)
@@ -463,21 +435,20 @@
         clock.return_value = 100 * LENDING_LEASE
         self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
 
-    async def test_process_that_follows_lends_the_next_part(self) -> None:
-        """Give a process that was started again a part of its own.
+    async def test_restarted_lender_gets_next_rank(self) -> None:
+        """Give a restarted lender the next rank and its own part of the budget.
 
-        The lender hands out all of its part in an outage and is killed. The
-        one that starts on its host knows nothing of that; it lends from the
-        next place, and both together stay within what may be lent.
+        It does not know what the killed process lent; together they must stay within
+        the lendable part.
         """
-        self.take_store_away()
+        self.stop_store()
         handed = 0
         for number in range(8):
             opened = await self.other.turns.open(start(f"turn-{number}"))
             if isinstance(opened, LocalTurn):
                 handed += opened.covered or 0
         name = str(self.lender.name)
-        self.end(name)
+        self.kill(name)
         for process in self.processes:
             process.client.faults.down = False
         fresh = Process(
@@ -487,147 +458,121 @@
             writer=f"second-{name}",
         )
         self.processes.append(fresh)
-        self.tasks[name] = fresh.parts()
+        self.tasks[name] = fresh.start()
         self.closing.append(fresh.server.close)
-        await self.until(lambda: fresh.rank is not None)
+        await self.wait_until(lambda: fresh.rank is not None)
         self.assertEqual(fresh.rank, 1)
-        await self.until(lambda: self.other.claimer.host(fresh.writer) is not None)
-        self.take_store_away()
-        turn = await self.lent(self.other, "turn-last", most=90)
+        await self.wait_until(lambda: self.other.claimer.host(fresh.writer) is not None)
+        self.stop_store()
+        turn = await self.open_on_loan(self.other, "turn-last", most=90)
         handed += turn.covered or 0
         self.assertLessEqual(handed, BUDGET // 4)
 
-    async def test_planned_stop_leaves_the_place_to_the_next(self) -> None:
-        """Lend from the same place after a planned stop, less what was lent.
+    async def test_planned_stop_passes_on_rank(self) -> None:
+        """Pass on the rank and the loans of a lender that stops as planned.
 
-        The lender covers a turn in an outage, is stopped when the store is back
-        and another process claims its slots. That one lends what is left of the
-        same part, and not what the first one had lent.
+        The successor lends only what is left of the same part.
         """
-        self.take_store_away()
-        turn = await self.lent(self.other, "turn-1", most=100)
+        self.stop_store()
+        turn = await self.open_on_loan(self.other, "turn-1", most=100)
         turn.hand_out(100)
         turn.close()
-        await self.until(lambda: not self._owes())
+        await self.wait_until(lambda: not self._has_open_loans())
         for process in self.processes:
             process.client.faults.down = False
         await self.lender.claimer.stop(self.lender.client)
         await self.lender.peers.unregister(self.lender.client, self.lender.writer)
         left = [one for one in self.processes if one is not self.lender]
-        await self.until(lambda: any(one.rank == 0 for one in left))
-        await self.until(lambda: self._knows_a_lender(self.other))
+        await self.wait_until(lambda: any(one.rank == 0 for one in left))
+        await self.wait_until(lambda: self._knows_lender(self.other))
         follower = next(one for one in left if one.rank == 0)
         self.assertEqual(follower.book.lend_left(PROGRAM, BUDGET, 0), 275)
         refused = await self.lender.turns.open(start("turn-2"))
         assert isinstance(refused, LocalTurn)
         self.assertIsNone(refused.covered)
 
-    async def test_late_loan_whose_settlement_is_lost(self) -> None:
-        """Have a lender know that nobody uses what it lent too late.
-
-        The lender answers too late, so the borrower goes elsewhere and tells
-        it that nothing is used. That word is lost. The program must find the
-        whole part again, or a loan that nobody has counts as handed out.
-        """
-        self.take_store_away()
-        slow = SlowAnswers(self.lender)
+    async def test_lost_settlement_of_late_loan(self) -> None:
+        """Retry the lost settlement of a loan that came too late to be used."""
+        self.stop_store()
+        slow = UnreliableLender(self.lender)
         slow.answer_delay = 2 * ASK_TIMEOUT
         slow.settlements_lost = 1
         refused = await self.other.turns.open(start("turn-1", most=300))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
-        await self.until(lambda: slow.settlements > 0)
-        await self.until(lambda: not self._owes())
+        await self.wait_until(lambda: slow.settlements > 0)
+        await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {})
 
-    async def test_settlement_that_is_lost(self) -> None:
-        """Have a lender know what a turn used although it was deaf at its end.
-
-        A turn borrows 300 tokens and uses 40. The lender is frozen when it
-        ends and hears nothing of that. Once it is well again, all but 40 can
-        be lent to the program's next turn.
-        """
-        self.take_store_away()
-        slow = SlowAnswers(self.lender)
+    async def test_lost_settlement(self) -> None:
+        """Retry a lost settlement, so that unused tokens can be lent again."""
+        self.stop_store()
+        slow = UnreliableLender(self.lender)
         slow.settlements_lost = 1
-        turn = await self.lent(self.other, "turn-1", most=300)
+        turn = await self.open_on_loan(self.other, "turn-1", most=300)
         turn.hand_out(40)
         turn.close()
         await asyncio.sleep(RETRY_TIMEOUT)
-        await self.until(lambda: not self._owes())
+        await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 40})
 
-    async def test_loan_that_is_handled_after_its_settlement(self) -> None:
-        """Hold nothing for a borrower that left before the lender came to lend.
-
-        The lender comes to the request only after it was told that nothing is
-        used. Nobody tells it again, so it must not lend then.
-        """
-        self.take_store_away()
-        slow = SlowAnswers(self.lender)
+    async def test_loan_request_after_settlement(self) -> None:
+        """Refuse a loan request that is handled after its settlement."""
+        self.stop_store()
+        slow = UnreliableLender(self.lender)
         slow.lend_delay = 3 * ASK_TIMEOUT
         refused = await self.other.turns.open(start("turn-1", most=300))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
-        await self.until(lambda: slow.settlements > 0)
+        await self.wait_until(lambda: slow.settlements > 0)
         await asyncio.sleep(3 * ASK_TIMEOUT)
         self.assertEqual(self.lender.book.totals(), {})
 
-    async def test_turn_that_ends_while_it_borrows(self) -> None:
-        """Return a loan that comes after the end of its turn.
-
-        The store goes away before a turn is granted, so a lender is asked. The
-        caller leaves at that moment and the turn is closed, once. The loan
-        comes after that; nobody closes the turn again.
-        """
+    async def test_turn_ends_during_borrow(self) -> None:
+        """Return a loan that is granted after its turn was closed."""
         await self.other.ledger.partition(PROGRAM).sync()
-        self.take_store_away()
-        # It waits for the log in its verdict, and borrows there.
+        self.stop_store()
+        # The turn waits for the log, and borrows within its verdict.
         begun = LocalTurns(ledger=self.other.ledger, lender=NoLender())
         turn = await begun.open(start("turn-1", most=300))
         assert isinstance(turn, LocalTurn)
         turn._lender = self.other.lenders
-        slow = SlowAnswers(self.lender)
+        slow = UnreliableLender(self.lender)
         slow.answer_delay = ASK_TIMEOUT / 2
         verdict = asyncio.create_task(turn.verdict())
-        await self.until(self._owes)
+        await self.wait_until(self._has_open_loans)
         turn.close()
         found = await verdict
         await asyncio.sleep(2 * ASK_TIMEOUT)
         self.assertEqual(self.lender.book.totals(), {})
         self.assertIsNot(found, BudgetVerdict.FITS)
 
-    async def test_raise_whose_answer_is_lost(self) -> None:
-        """Keep what a turn was lent where the answer to a raise is lost.
-
-        A turn was lent 175 tokens, has used 170 and asks for more. The lender
-        raises the loan, but its answer comes too late. The turn still has its
-        175 and may hand out 5 unasked; at its end all else is returned.
-        """
-        self.take_store_away()
-        first = await self.lent(self.other, "turn-1", most=200)
-        second = await self.lent(self.other, "turn-2", most=300)
+    async def test_lost_reply_to_increase(self) -> None:
+        """Keep the tokens of a loan if the reply to an increase is lost."""
+        self.stop_store()
+        first = await self.open_on_loan(self.other, "turn-1", most=200)
+        second = await self.open_on_loan(self.other, "turn-2", most=300)
         second.hand_out(170)
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
-        slow = SlowAnswers(self.lender)
+        await self.wait_until(
+            lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150
+        )
+        slow = UnreliableLender(self.lender)
         slow.answer_delay = 2 * LOG_PATIENCE
         self.assertFalse(await second._cover_soon(180))
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 300})
         self.assertEqual(second.covered, 175)
         self.assertTrue(second.covers(5))
         second.close()
-        await self.until(lambda: not self._owes())
+        await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 170})
 
-    async def test_gateway_is_lost_after_a_raise_without_an_answer(self) -> None:
-        """Count all that a lost gateway may have handed out.
+    async def test_gateway_lost_after_failed_increase(self) -> None:
+        """Count the whole loan of a lost gateway as used.
 
-        A delegate keeps a turn's account for a gateway, which may hand out 175
-        tokens unasked. It tells that it handed out 100 and asks for more. The
-        lender's answer to that is lost, and the gateway is lost before the
-        turn's time is over: it may have handed out all of its 175.
+        The gateway reported less when it asked for more, but may have used all of the
+        loan since.
         """
-        self.take_store_away()
-        first = await self.lent(self.other, "turn-1", most=200)
+        self.stop_store()
+        first = await self.open_on_loan(self.other, "turn-1", most=200)
         delegate = TurnServer(local=self.other.turns, ledger=self.other.ledger)
         opening = OpenTurnRequest(
             opening=OpeningId("1"), start=start("turn-2", most=300)
@@ -636,45 +581,38 @@
         assert isinstance(opened, TurnOpened)
         self.assertEqual(opened.covered, 175)
         first.close()
-        await self.until(lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150)
-        slow = SlowAnswers(self.lender)
+        await self.wait_until(
+            lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150
+        )
+        slow = UnreliableLender(self.lender)
         slow.answer_delay = 2 * LOG_PATIENCE
         asked = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
         await delegate.answer(asked, mock.AsyncMock())
-        await self.until(lambda: not self._owes())
+        await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 175})
 
-    async def test_turn_that_ends_while_it_waits_to_be_covered(self) -> None:
-        """Say that nothing is covered any more where a turn ended meanwhile.
-
-        A stream waits since its loan is used up and nobody covers the rest.
-        Its caller leaves, which closes the turn. The wait must end with a
-        refusal, not with an error.
-        """
-        self.take_store_away()
-        await self.lent(self.other, "turn-1", most=200)
-        turn = await self.lent(self.other, "turn-2", most=300)
+    async def test_turn_ends_while_waiting_for_tokens(self) -> None:
+        """End the wait for tokens with a refusal if the turn is closed."""
+        self.stop_store()
+        await self.open_on_loan(self.other, "turn-1", most=200)
+        turn = await self.open_on_loan(self.other, "turn-2", most=300)
         turn.hand_out(175)
         covering = asyncio.create_task(turn.cover(10))
         await asyncio.sleep(0.5)
         self.assertFalse(covering.done())
         turn.close()
-        self.assertFalse(await asyncio.wait_for(covering, PATIENCE))
-
-    async def test_caller_leaves_while_its_turn_borrows(self) -> None:
-        """Return what is lent to a caller that has left.
+        self.assertFalse(await asyncio.wait_for(covering, TEST_TIMEOUT))
 
-        A caller leaves while its gateway waits for a lender's answer, at any
-        moment of that wait. The lender is told that nothing is used.
-        """
-        self.take_store_away()
-        slow = SlowAnswers(self.lender)
+    async def test_caller_leaves_during_borrow(self) -> None:
+        """Return a loan if the caller leaves at any time before it is granted."""
+        self.stop_store()
+        slow = UnreliableLender(self.lender)
         slow.answer_delay = ASK_TIMEOUT / 2
         for number in range(6):
             opening = asyncio.create_task(
                 self.other.turns.open(start(f"turn-{number}", most=300))
             )
-            await self.until(self._owes)
+            await self.wait_until(self._has_open_loans)
             await asyncio.sleep(number * ASK_TIMEOUT / 10)
             opening.cancel()
             try:
@@ -684,43 +622,35 @@
             else:
                 assert isinstance(opened, LocalTurn)
                 opened.close()
-            await self.until(lambda: not self._owes())
+            await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {})
 
-    async def test_borrower_is_lost_with_a_loan(self) -> None:
-        """Count what a lost borrower may have handed out, and hold no more.
-
-        A borrower dies with a loan of 300. The lender can't know how much of
-        it reached the caller, so all of it counts; the rest of its part is
-        lent to the program's next turn, and once the program can't come back
-        all is forgotten.
-        """
-        self.take_store_away()
-        await self.lent(self.other, "turn-1", most=300)
-        self.end(str(self.other.name))
+    async def test_lost_borrower(self) -> None:
+        """Count a lost borrower's whole loan as used until the program expires."""
+        self.stop_store()
+        await self.open_on_loan(self.other, "turn-1", most=300)
+        self.kill(str(self.other.name))
         self.other.server.close()
         third = next(
             one for one in self.processes if one not in (self.lender, self.other)
         )
-        turn = await self.lent(third, "turn-2", most=75)
+        turn = await self.open_on_loan(third, "turn-2", most=75)
         turn.hand_out(75)
         turn.close()
-        await self.until(lambda: self.lender.book.totals() == {PROGRAM: 375})
+        await self.wait_until(lambda: self.lender.book.totals() == {PROGRAM: 375})
         clock = mock.Mock(return_value=time.monotonic() + RETENTION + FORGET_AFTER + 1)
         self.lender.book._clock = clock
         self.lender.book.forget_old()
         self.assertEqual(self.lender.book.totals(), {})
 
-    async def test_all_processes_are_lost_twice(self) -> None:
-        """Lend what is left of a budget's lent part after losses of all.
+    async def test_all_processes_lost_twice(self) -> None:
+        """Lend from the third rank after two losses of all processes.
 
-        All processes lose power, start again and claim, twice. Then the store
-        goes away and a program begins that none of them has ever seen. The
-        claims of the lost keep their places, so its lender has the third one:
-        3/256 of the budget, in place of 3/16, until these claims are removed.
+        The first rank is available again when the claims of the lost processes have
+        expired.
         """
         for loss in ("second", "third"):
-            await self._lose_all(loss)
+            await self._restart_all(loss)
         clock = mock.Mock(return_value=0.0)
         for process in self.processes:
             process.claimer.expiry = ClaimExpiry(clock=clock)
@@ -731,22 +661,24 @@
         await asyncio.sleep(0.3)
         clock.return_value = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
         await asyncio.sleep(0.3)
-        self.take_store_away()
+        self.stop_store()
         refused = await other.turns.open(start("turn-1", most=100))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
         for process in self.processes:
             process.client.faults.down = False
         clock.return_value += 1
-        await self.until(lambda: lender.rank == 0)
-        await self.until(lambda: len(other.claims.lenders_of(slot_of(PROGRAM))) == 1)
-        self.take_store_away()
-        turn = await self.lent(other, "turn-2", most=375)
+        await self.wait_until(lambda: lender.rank == 0)
+        await self.wait_until(
+            lambda: len(other.claims.lenders_of(slot_of(PROGRAM))) == 1
+        )
+        self.stop_store()
+        turn = await self.open_on_loan(other, "turn-2", most=375)
         self.assertEqual(turn.covered, 375)
 
-    async def _lose_all(self, name: str) -> None:
+    async def _restart_all(self, name: str) -> None:
         lost, self.processes = self.processes, []
         for process in lost:
-            self.end(str(process.name))
+            self.kill(str(process.name))
             process.server.close()
             process.peers.close()
             await process.ledger.close()
@@ -758,21 +690,19 @@
                 writer=f"{name}-{process.name}",
             )
             self.processes.append(fresh)
-            self.tasks[str(fresh.name)] = fresh.parts()
+            self.tasks[str(fresh.name)] = fresh.start()
             self.closing.append(fresh.server.close)
-        await self.until(lambda: all(map(self._knows_a_living_lender, self.processes)))
+        await self.wait_until(lambda: all(map(self._knows_live_lender, self.processes)))
 
-    def _knows_a_living_lender(self, process: Process) -> bool:
+    def _knows_live_lender(self, process: Process) -> bool:
         lenders = process.claims.lenders_of(slot_of(PROGRAM))
         return any(process.claimer.host(one.writer) is not None for one in lenders)
 
-    async def test_spent_log_is_continued_by_the_lender(self) -> None:
-        """Let a program use its whole budget while the store answers.
+    async def test_lender_continues_exhausted_log(self) -> None:
+        """Lend the rest of a budget when the log has granted its own part.
 
-        The log grants 1,600 of 2,000; the rest comes from the lender, so that
-        a refusal for the budget is true when it comes. What is left at the end
-        is less than a turn may need: lent, it would be used up in the middle of
-        the answer, which the caller would lose.
+        A last part that is too small for a turn is not lent, as it would run out in
+        the middle of the answer.
         """
         handed = 0
         for number in range(22):
@@ -781,30 +711,25 @@
                 self.assertIs(opened, BudgetVerdict.EXCEEDED)
                 continue
             self.assertIs(await opened.verdict(), BudgetVerdict.FITS)
-            # What a turn holds at first is less near the end of a budget.
-            self.assertTrue(await opened.cover(MOST))
-            opened.hand_out(MOST)
+            # Near the end of a budget the initial grant is only a part.
+            self.assertTrue(await opened.cover(MAX_TOKENS))
+            opened.hand_out(MAX_TOKENS)
             opened.close()
-            handed += MOST
+            handed += MAX_TOKENS
         self.assertEqual(handed, 1900)
 
 
 class CancelledOpenTests(unittest.IsolatedAsyncioTestCase):
-    """Return what the log grants to a caller that leaves."""
+    """Test grants to callers that leave."""
 
-    async def test_caller_leaves_as_the_log_grants_its_turn(self) -> None:
-        """Close a reservation that is made at the moment its caller leaves.
-
-        The log is slow and nobody lends, so the turn waits for the log. It
-        grants the turn, and in the same moment the caller leaves: nobody but
-        the one who asked knows the reservation and can close it.
-        """
+    async def test_caller_leaves_as_log_grants(self) -> None:
+        """Close a reservation that is granted just as its caller leaves."""
         reservation = mock.Mock(spec=Reservation)
         granted = asyncio.Event()
 
         async def reserve(terms: TurnTerms) -> Reservation:
             await granted.wait()
-            # The caller leaves after this answer and before it is read.
+            # The caller leaves after the grant and before it is read.
             asyncio.get_running_loop().call_soon(opening.cancel)
             return reservation
 
@@ -818,11 +743,11 @@
         reservation.close.assert_called_once_with()
 
 
-class ForeignRequestTests(unittest.TestCase):
-    """Answer what is no request of a borrower."""
+class UnexpectedRequestTests(unittest.TestCase):
+    """Test requests that are not for a lender."""
 
     def test_unknown_request(self) -> None:
-        """Say that it is not for this part."""
+        """Reject an unexpected request."""
         lenders = mock.Mock(spec=LoanService)
         reply = LoanService.answer(lenders, mock.Mock())
         self.assertIsInstance(reply, Failed)
--- a/sequoiaarch/tests/fleet/notifier_tests.py
+++ b/sequoiaarch/tests/fleet/notifier_tests.py
@@ -1,4 +1,4 @@
-"""Test that what must arrive is told until it was heard."""
+"""Test that notifications are retried until they are accepted."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 LOOPBACK = "tcp://127.0.0.1:*"
 
 
-class TellingTests(unittest.IsolatedAsyncioTestCase):
-    """Tell a peer that does not answer."""
+class NotifierTests(unittest.IsolatedAsyncioTestCase):
+    """Test notifications to a peer that does not answer."""
 
     async def asyncSetUp(self) -> None:
-        """Make a link to a peer that reads nothing."""
+        """Connect to a peer that reads nothing."""
         self.context = zmq.asyncio.Context()
         self.peer = self.context.socket(zmq.ROUTER)
         self.peer.bind(LOOPBACK)
@@ -36,13 +36,10 @@
         self.peer.close(linger=0)
         self.context.destroy(linger=0)
 
-    async def test_silent_link_is_made_anew(self) -> None:
-        """Tell again through a new connection where the old one has gone silent.
+    async def test_silent_link_is_replaced(self) -> None:
+        """Retry over a new connection if the old one is silent.
 
-        A connection goes silent for good while new ones work. Nothing else is asked
-        of that peer, so only the wait for this answer can show it. A wait that ends
-        before a link is taken for silent begins anew each time, on the dead
-        connection, until nobody needs to know any more.
+        A timeout below the silence limit would retry on the dead connection for ever.
         """
         notifier = Notifier(timeout=RETRY_TIMEOUT)
         before = self.link._socket
--- a/sequoiaarch/tests/fleet/peers_tests.py
+++ b/sequoiaarch/tests/fleet/peers_tests.py
@@ -1,4 +1,4 @@
-"""Test store calls through peers."""
+"""Test store calls relayed by peers, and registrations."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from ...storage.keyed import KeyedRecord, Partition
 
 CALL = StoreCall(method="GET", path="/x", timeout=5.0)
-HERE = DataCentre("here")
-AWAY = DataCentre("away")
+LOCAL_CENTRE = DataCentre("here")
+REMOTE_CENTRE = DataCentre("away")
 FAILED = Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="denied too")
 
 
 class _Caller:
-    """Reach the store, or not, as a peer does."""
+    """Store caller of a peer, with switchable failures."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -34,7 +34,7 @@
         self.reaches_store = True
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Answer with the own name."""
+        """Return this peer's name, or fail as configured."""
         self.calls += 1
         if self.denied:
             return FAILED
@@ -44,10 +44,10 @@
 
 
 class PeersTests(unittest.IsolatedAsyncioTestCase):
-    """Run peers over real sockets."""
+    """Test relaying over real sockets."""
 
     async def asyncSetUp(self) -> None:
-        """Make the context and the asking side."""
+        """Create the process that relays through peers."""
         self.context = zmq.asyncio.Context()
         self.closing: list[Callable[[], None]] = []
         self.serving: list[asyncio.Task[None]] = []
@@ -55,7 +55,7 @@
             context=self.context,
             own=HostName("own"),
             own_address="127.0.0.1:1",
-            data_centre=HERE,
+            data_centre=LOCAL_CENTRE,
             seeds=[],
             rng=random.Random(1),
         )
@@ -70,7 +70,7 @@
         self.context.destroy(linger=0)
 
     async def add(self, name: str, data_centre: DataCentre) -> _Caller:
-        """Start a peer and tell of it."""
+        """Start a peer and register it."""
         caller = _Caller(name)
         server = PeerServer(
             context=self.context,
@@ -81,73 +81,63 @@
         task = asyncio.create_task(server.run())
         self.closing.append(server.close)
         self.serving.append(task)
-        self.tell(name, server.address.removeprefix("tcp://"), data_centre)
+        self.register(name, server.address.removeprefix("tcp://"), data_centre)
         return caller
 
-    def tell(self, name: str, address: str, data_centre: DataCentre) -> None:
-        """Register a peer as the topic does."""
+    def register(self, name: str, address: str, data_centre: DataCentre) -> None:
+        """Apply a registration record of a peer."""
         record = PeerRecord(address=address, data_centre=data_centre)
         value = msgspec.json.encode(record)
         self.peers.change(KeyedRecord(key=name, value=value))
 
-    async def answer(self) -> str:
-        """Return the name of the peer that made a call."""
+    async def relay_call(self) -> str:
+        """Relay a call and return the name of the peer that made it."""
         reply = await self.peers.relay(CALL)
         assert isinstance(reply, StoreReply), reply
         return reply.body.decode()
 
     async def test_nearest_first(self) -> None:
-        """Ask a peer in the same data centre, and another when it is denied too."""
-        near = await self.add("near", HERE)
-        await self.add("far", AWAY)
+        """Prefer peers of the same data centre; try others after a failure."""
+        near = await self.add("near", LOCAL_CENTRE)
+        await self.add("far", REMOTE_CENTRE)
         for _ in range(3):
-            self.assertEqual(await self.answer(), "near")
+            self.assertEqual(await self.relay_call(), "near")
         near.denied = True
-        self.assertEqual(await self.answer(), "far")
+        self.assertEqual(await self.relay_call(), "far")
 
-    async def test_peer_is_turned_away_too(self) -> None:
-        """Go on to the next peer when the store answers the first one with 429.
+    async def test_throttled_peer(self) -> None:
+        """Try the next peer if the store throttles the first one with 429.
 
-        The store turns a third of the processes away. One of them asked its
-        neighbour, which was turned away like itself, passed that answer on and
-        asked it again: it kept no turn for eight seconds.
+        The throttled peer must not be tried first again.
         """
-        near = await self.add("near", HERE)
-        await self.add("far", AWAY)
+        near = await self.add("near", LOCAL_CENTRE)
+        await self.add("far", REMOTE_CENTRE)
         near.busy = True
         for _ in range(3):
-            self.assertEqual(await self.answer(), "far")
+            self.assertEqual(await self.relay_call(), "far")
         self.assertEqual(near.calls, 1)
 
-    async def test_peer_that_is_cut_off_says_so(self) -> None:
-        """Go on to the next peer without a call in vain at the first one.
-
-        A third of the hosts are cut off from the store at once. One that knows
-        it of itself must not let a neighbour's call hang as its own do.
-        """
-        near = await self.add("near", HERE)
-        await self.add("far", AWAY)
+    async def test_peer_without_store(self) -> None:
+        """Fail fast at a peer that knows it can't reach the store."""
+        near = await self.add("near", LOCAL_CENTRE)
+        await self.add("far", REMOTE_CENTRE)
         near.reaches_store = False
-        self.assertEqual(await self.answer(), "far")
+        self.assertEqual(await self.relay_call(), "far")
         self.assertEqual(near.calls, 0)
 
     async def test_gone_peer(self) -> None:
-        """Go on to the next when a registered peer is gone.
-
-        A host was replaced; its registration stands, and nothing listens at
-        its address. It is not asked again at once.
-        """
-        self.tell("gone", "127.0.0.1:9", HERE)
-        await self.add("far", AWAY)
+        """Try the next peer if nothing listens at a registered address."""
+        self.register("gone", "127.0.0.1:9", LOCAL_CENTRE)
+        await self.add("far", REMOTE_CENTRE)
         for _ in range(2):
-            self.assertEqual(await self.answer(), "far")
+            self.assertEqual(await self.relay_call(), "far")
 
-    async def test_nobody(self) -> None:
+    async def test_no_peer(self) -> None:
         """Fail when no peer is known."""
         self.assertIsInstance(await self.peers.relay(CALL), Failure)
 
     async def test_registration(self) -> None:
-        """Write the own address where others read it."""
+        """Write and remove a registration that other hosts read."""
         store = KeyedStore()
         client = store.client()
         await self.peers.register(client, WriterId("writer"))
@@ -155,7 +145,7 @@
             context=self.context,
             own=HostName("other"),
             own_address="127.0.0.1:2",
-            data_centre=HERE,
+            data_centre=LOCAL_CENTRE,
             seeds=[],
             rng=random.Random(1),
         )
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -1,4 +1,4 @@
-"""Test that hosts take tokens from the keepers of a limit, over real sockets."""
+"""Test that hosts take rate-limit tokens from its keepers, over real sockets."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from ...workspaces.quotas import Refusal
 from ...workspaces.shares import Keepers
 from ...workspaces.spans import QuotaBounds
-from .delegates_tests import NoStore
+from .delegates_tests import FailingStoreCaller
 
 WORKSPACE = Workspace("w")
 LIMIT = RateLimit(rate=2.0, burst=0.0)
@@ -37,13 +37,13 @@
 
 
 class _Host:
-    """Hold one host's shares and tokens."""
+    """One host with its shares of the limit and its tokens."""
 
     def __init__(self, *, number: int, context: zmq.asyncio.Context) -> None:
         self.name = HostName(f"h{number}")
         self.data_centre = CENTRES[number % len(CENTRES)]
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=NoStore()
+            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
@@ -79,18 +79,18 @@
         self.asked = 0
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Hand out tokens."""
+        """Handle a request for tokens."""
         assert isinstance(request, TakeTokens)
         self.asked += 1
         return self.quotas.answer(request)
 
     async def take(self) -> float | Refusal:
-        """Take a token for a request of a program under way."""
+        """Take a token for a request of a running program."""
         return await self.quotas.take(CALLER, begins=False)
 
 
 class FleetQuotasTests(unittest.IsolatedAsyncioTestCase):
-    """Run six hosts in three data centres."""
+    """Test a limit shared by six hosts in three data centres."""
 
     async def asyncSetUp(self) -> None:
         """Start the hosts, which know each other."""
@@ -122,13 +122,13 @@
         return [one for name in names for one in self.hosts if one.name == name]
 
     async def test_hosts_agree_on_keepers_of_all_data_centres(self) -> None:
-        """Choose the same three keepers everywhere, one in each data centre."""
+        """Choose the same three keepers on every host, one in each data centre."""
         found = {host.keepers.of(WORKSPACE) for host in self.hosts}
         self.assertEqual(len(found), 1)
         self.assertEqual({one.data_centre for one in self.keepers()}, set(CENTRES))
 
-    async def test_all_hosts_together_get_what_a_window_allows(self) -> None:
-        """Serve a limit whole, through one host or all, and no more than it."""
+    async def test_total_stays_within_limit(self) -> None:
+        """Serve most of the limit and never more, through one host or all."""
         for hosts in (self.hosts[:1], self.hosts):
             for host in self.hosts:
                 host.now += 60.0
@@ -140,14 +140,14 @@
             self.assertGreaterEqual(served, ALLOWED // 2)
 
     async def test_near_keeper_is_asked_first(self) -> None:
-        """Ask nobody outside the data centre while its keeper has tokens."""
+        """Send no request to other data centres while the near keeper has tokens."""
         host = self.hosts[0]
         self.assertIsInstance(await host.take(), float)
         asked = [one for one in self.hosts if one.asked]
         self.assertTrue(all(one.data_centre == host.data_centre for one in asked))
 
     async def test_lost_keeper(self) -> None:
-        """Go on with the other shares when a keeper is lost."""
+        """Use the other shares if a keeper is lost."""
         lost = self.keepers()[0]
         near = [one for one in self.hosts if one.data_centre == lost.data_centre]
         host = next(one for one in near if one is not lost)
@@ -155,7 +155,7 @@
         self.assertIsInstance(await host.take(), float)
 
     async def test_no_keeper_answers(self) -> None:
-        """Say that the limit is not known where nobody who keeps it answers."""
+        """Refuse with an unknown limit if no keeper answers."""
         for host in self.hosts:
             host.server.close()
         asking = next(one for one in self.hosts if one not in self.keepers())
@@ -164,8 +164,8 @@
         self.assertFalse(found.kept)
         self.assertGreater(found.wait, 0)
 
-    async def test_refused_workspace_is_not_asked_for_again_at_once(self) -> None:
-        """Refuse a workspace at its limit without a message for each request."""
+    async def test_refusal_is_cached(self) -> None:
+        """Cache a refusal instead of asking the keepers for each request."""
         host = self.hosts[0]
         while not isinstance(found := await host.take(), Refusal):
             host.now += 0.0001
@@ -175,8 +175,8 @@
             self.assertIsInstance(await host.take(), Refusal)
         self.assertEqual(sum(one.asked for one in self.hosts), before)
 
-    async def test_callers_are_told_when_there_is_room(self) -> None:
-        """Serve a caller that comes back when it was told to, and nobody else asks."""
+    async def test_retry_after_advertised_wait(self) -> None:
+        """Serve a caller that retries after the advertised wait."""
         host = self.hosts[0]
         with mock.patch.object(limiter_module, "REFUSED_SPAN", 0.0):
             while not isinstance(found := await host.take(), Refusal):
--- a/sequoiaarch/tests/fleet/registration_check_tests.py
+++ b/sequoiaarch/tests/fleet/registration_check_tests.py
@@ -1,4 +1,4 @@
-"""Test that a new host finds out when all others see it."""
+"""Test the check that all hosts see a new registration."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, SeenRequest
 from ...workspaces.tenure import Tenure
-from .delegates_tests import NoStore
+from .delegates_tests import FailingStoreCaller
 
 LEASE = 4.0
 
 
 class _Host:
-    """Hold one host that is registered, and its view of the others."""
+    """A registered host and its view of the others."""
 
     def __init__(self, *, name: str, context: zmq.asyncio.Context) -> None:
         self.name = HostName(name)
         self.writer = WriterId(f"writer-{name}")
         self.now = 100.0
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=NoStore()
+            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
@@ -48,12 +48,12 @@
         self.server.fallback = self.answer
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Tell whether a host is seen."""
+        """Handle a visibility request."""
         assert isinstance(request, SeenRequest)
         return self.check.answer(request)
 
-    def see(self, other: _Host) -> None:
-        """See the registration of a host."""
+    def add_registration(self, other: _Host) -> None:
+        """Add the registration of another host to this view."""
         record = PeerRecord(
             address=other.address, data_centre=DataCentre("here"), writer=other.writer
         )
@@ -62,7 +62,7 @@
 
 
 class RegistrationCheckTests(unittest.IsolatedAsyncioTestCase):
-    """Add a host to two others, over real sockets."""
+    """Test adding a host to two others, over real sockets."""
 
     async def asyncSetUp(self) -> None:
         """Start the hosts; the new one sees the others and itself."""
@@ -71,7 +71,7 @@
             _Host(name=name, context=self.context) for name in ("new", "a", "b")
         )
         for other in self.others:
-            self.new.see(other)
+            self.new.add_registration(other)
         self.new.tenure.registered(own=True, ordered=True)
         self.new.tenure.viewed(self.new.now)
         hosts = [self.new, *self.others]
@@ -87,29 +87,29 @@
             host.server.close()
         self.context.destroy(linger=0)
 
-    async def asked(self) -> None:
-        """Let the new host ask some times."""
+    async def wait_for_checks(self) -> None:
+        """Wait for several rounds of the check."""
         await asyncio.sleep(5 * check_module.ASK_INTERVAL)
 
     async def test_all_see_the_new_host(self) -> None:
-        """Act at once when nobody acts by a view without this host."""
+        """Act as soon as all hosts see the registration."""
         for other in self.others:
-            other.see(self.new)
-        await self.asked()
+            other.add_registration(self.new)
+        await self.wait_for_checks()
         self.assertTrue(self.new.tenure.acts)
 
-    async def test_one_has_an_old_view(self) -> None:
-        """Wait for a host that may act by a view without this one."""
-        self.others[0].see(self.new)
-        await self.asked()
+    async def test_host_with_stale_view(self) -> None:
+        """Wait for a host whose view does not include this one."""
+        self.others[0].add_registration(self.new)
+        await self.wait_for_checks()
         self.assertFalse(self.new.tenure.acts)
-        self.others[1].see(self.new)
-        await self.asked()
+        self.others[1].add_registration(self.new)
+        await self.wait_for_checks()
         self.assertTrue(self.new.tenure.acts)
 
-    async def test_one_does_not_answer(self) -> None:
-        """Wait for a lease where a host is lost or cut off, and act then."""
-        self.others[0].see(self.new)
+    async def test_host_does_not_answer(self) -> None:
+        """Wait for the lease to expire if a host does not answer."""
+        self.others[0].add_registration(self.new)
         self.others[1].server.close()
         await asyncio.sleep(3 * check_module.ASK_TIMEOUT)
         self.assertFalse(self.new.tenure.acts)
@@ -117,10 +117,10 @@
         self.new.tenure.viewed(self.new.now)
         self.assertTrue(self.new.tenure.acts)
 
-    async def test_other_process_of_the_host_is_seen(self) -> None:
-        """Wait while others see an earlier process of this host, which has ended."""
+    async def test_earlier_process_is_seen(self) -> None:
+        """Wait while others see the registration of an earlier process."""
         for other in self.others:
-            other.see(self.new)
+            other.add_registration(self.new)
         self.new.check._writer = WriterId("later")
-        await self.asked()
+        await self.wait_for_checks()
         self.assertFalse(self.new.tenure.acts)
--- a/sequoiaarch/tests/fleet/scaling_tests.py
+++ b/sequoiaarch/tests/fleet/scaling_tests.py
@@ -1,4 +1,4 @@
-"""Count the work of one host as the fleet grows to the size that it is meant for."""
+"""Test that the work of one host stays bounded as the fleet grows."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 def writer_of(number: int) -> WriterId:
-    """Return the process of a host."""
+    """Return the writer id of a host."""
     return WriterId(f"w{number}")
 
 
 class _Host:
-    """Hold what one host of a fleet knows of the others."""
+    """One host's view of a fleet of `size` hosts."""
 
     def __init__(self, *, size: int) -> None:
         context = mock.Mock(spec=zmq.asyncio.Context)
@@ -66,27 +66,25 @@
         return KeyedRecord(key=f"h{number}", value=json.dumps(found).encode())
 
 
-class GrowthTests(unittest.IsolatedAsyncioTestCase):
-    """Count ranks that are computed: the cost of what every host does for itself."""
+class ScalingTests(unittest.IsolatedAsyncioTestCase):
+    """Test the number of rendezvous scores that a host computes."""
 
-    def counted(self) -> mock.Mock:
-        """Count the ranks from now on."""
+    def count_scores(self) -> mock.Mock:
+        """Return a mock that counts the scores computed from now on."""
         counting = mock.Mock(wraps=ranking.score)
         patched = mock.patch.object(ranking, "score", counting)
         patched.start()
         self.addCleanup(patched.stop)
         return counting
 
-    async def test_first_claims_look_at_few_hosts(self) -> None:
-        """Claim slots with a work that hardly grows with the fleet.
+    async def test_first_claims_compute_few_scores(self) -> None:
+        """Choose slots to claim without scoring all hosts for all slots.
 
-        All hosts start together and each decides which of 512 slots fall to it.
-        Ranking all hosts for all slots takes 276,480 ranks at 540 hosts, while
-        which a host answers nobody.
+        A full ranking would block the event loop in a large fleet.
         """
         for size in SIZES:
             host = _Host(size=size)
-            counting = self.counted()
+            counting = self.count_scores()
             claimed = host.claimer._slots_to_claim()
             with self.subTest(size=size):
                 looked = counting.call_count
@@ -94,8 +92,8 @@
                 self.assertLessEqual(looked, own + 8 * SLOTS)
             mock.patch.stopall()
 
-    async def test_every_slot_falls_to_one_host(self) -> None:
-        """Agree with what a ranking of all hosts for a slot says."""
+    async def test_claims_match_full_ranking(self) -> None:
+        """Claim exactly the slots that a full ranking assigns to this host."""
         host = _Host(size=30)
         hosts = [HostName(f"h{number}") for number in range(30)]
         claimed = set(host.claimer._slots_to_claim())
@@ -104,8 +102,8 @@
             first = max(hosts, key=partial(ranking.score, name))
             self.assertEqual(slot in claimed, first == OWN, slot)
 
-    async def test_turn_ranks_nobody_twice(self) -> None:
-        """Find a program's delegate without ranking until hosts change."""
+    async def test_delegates_are_ranked_once(self) -> None:
+        """Compute no scores for a slot again until the hosts change."""
         for size in SIZES:
             host = _Host(size=size)
             delegates = DelegateSelector(
@@ -114,11 +112,11 @@
             programs = [ProgramId(f"p{number}") for number in range(2000)]
             for program in programs:
                 delegates.delegate_of(program)
-            counting = self.counted()
+            counting = self.count_scores()
             found = {delegates.delegate_of(program) for program in programs}
             with self.subTest(size=size):
                 self.assertEqual(counting.call_count, 0)
-                # A data centre of 108 hosts has less than five slots for each.
+                # A large data centre has few slots for each host.
                 self.assertGreaterEqual(len(found), 0.9 * size // DATA_CENTRES)
             host.peers.change(KeyedRecord(key="h5", value=b""))
             self.assertNotIn(
@@ -126,8 +124,8 @@
             )
             mock.patch.stopall()
 
-    async def test_loan_sorts_no_claims(self) -> None:
-        """Find a slot's lenders without looking at the claims of others."""
+    async def test_lender_lookup_sorts_no_claims(self) -> None:
+        """Find a slot's lenders without sorting all claims."""
         claims = Claims()
         for number in range(540):
             slots = list(range(number % SLOTS, SLOTS, 540)) + [7]
@@ -147,10 +145,10 @@
 
 
 class PeerRecordTests(unittest.TestCase):
-    """Keep what is known of a host in one place."""
+    """Test lookups of hosts by process."""
 
     def test_host_of_a_process(self) -> None:
-        """Find the host of a process, and none for one that was replaced."""
+        """Return no host for a process whose registration was replaced."""
         host = _Host(size=3)
         self.assertEqual(host.peers.host_of(writer_of(2)), "h2")
         record = PeerRecord(address="x:1", data_centre=DataCentre("0"))
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -1,4 +1,4 @@
-"""Test that hosts of a data centre share what they saw of targets."""
+"""Test that hosts of a data centre share the health of targets."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, TargetReport
-from .delegates_tests import NoStore
+from .delegates_tests import FailingStoreCaller
 
 TARGET = InstanceId("target")
-HERE = DataCentre("here")
-THERE = DataCentre("there")
-PATIENCE = 10.0
+LOCAL_CENTRE = DataCentre("here")
+REMOTE_CENTRE = DataCentre("there")
+TEST_TIMEOUT = 10.0
 
 
 class _Host:
-    """Hold what one host knows of targets."""
+    """One host with its view of target health."""
 
     def __init__(
         self, *, name: str, data_centre: DataCentre, context: zmq.asyncio.Context
@@ -33,7 +33,7 @@
         self.name = HostName(name)
         self.data_centre = data_centre
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=NoStore()
+            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
@@ -49,33 +49,38 @@
             own=self.name, peers=self.peers, health=self.health
         )
         self.server.fallback = self.answer
-        self.heard = 0
+        self.reports_received = 0
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Take a report."""
+        """Handle a target report."""
         assert isinstance(request, TargetReport)
-        self.heard += 1
+        self.reports_received += 1
         return self.reports.receive(request)
 
     def fail(self) -> None:
-        """Have a request to the target fail here."""
+        """Record a failed request to the target on this host."""
         now = asyncio.get_running_loop().time()
         if self.health.failed(TARGET, now):
             self.reports.broadcast(TARGET, False)
 
     def passes_over(self) -> bool:
-        """Return whether requests avoid the target here."""
+        """Return whether this host avoids the target."""
         now = asyncio.get_running_loop().time()
         return self.health.failing(TARGET, now) == PASSED_OVER
 
 
 class TargetReportsTests(unittest.IsolatedAsyncioTestCase):
-    """Run four hosts in two data centres over real sockets."""
+    """Test four hosts in two data centres over real sockets."""
 
     async def asyncSetUp(self) -> None:
         """Start the hosts, which know each other."""
         self.context = zmq.asyncio.Context()
-        places = {"a": HERE, "b": HERE, "c": HERE, "far": THERE}
+        places = {
+            "a": LOCAL_CENTRE,
+            "b": LOCAL_CENTRE,
+            "c": LOCAL_CENTRE,
+            "far": REMOTE_CENTRE,
+        }
         self.hosts = {
             name: _Host(name=name, data_centre=place, context=self.context)
             for name, place in places.items()
@@ -100,43 +105,41 @@
             host.server.close()
         self.context.destroy(linger=0)
 
-    async def until_heard(self, name: str, count: int) -> None:
-        """Wait until a host has heard so many reports."""
-        async with asyncio.timeout(PATIENCE):
-            while self.hosts[name].heard < count:
+    async def wait_until_received(self, name: str, count: int) -> None:
+        """Wait until a host has received `count` reports."""
+        async with asyncio.timeout(TEST_TIMEOUT):
+            while self.hosts[name].reports_received < count:
                 await asyncio.sleep(0.01)
 
-    async def test_third_host_avoids_what_two_saw_fail(self) -> None:
-        """Spare a host's callers the failure that two others met.
+    async def test_two_reports_exclude_target(self) -> None:
+        """Avoid a target that two other hosts of the data centre saw fail.
 
-        Two hosts lose a request each to a target. The third has sent it none
-        yet; its first request goes elsewhere. The other data centre, whose
-        requests go to targets of its own, is not told.
+        Hosts of other data centres receive no report.
         """
         self.hosts["a"].fail()
-        await self.until_heard("c", 1)
+        await self.wait_until_received("c", 1)
         self.assertFalse(self.hosts["c"].passes_over())
         self.hosts["b"].fail()
-        await self.until_heard("c", 2)
+        await self.wait_until_received("c", 2)
         self.assertTrue(self.hosts["c"].passes_over())
         self.assertTrue(self.hosts["b"].passes_over())
-        self.assertEqual(self.hosts["far"].heard, 0)
+        self.assertEqual(self.hosts["far"].reports_received, 0)
 
-    async def test_hosts_that_are_gone_hold_nobody_up(self) -> None:
-        """Report although a neighbour is gone and never answers."""
+    async def test_unresponsive_neighbour(self) -> None:
+        """Deliver reports although another neighbour never answers."""
         self.hosts["b"].server.close()
         self.hosts["a"].fail()
-        await self.until_heard("c", 1)
+        await self.wait_until_received("c", 1)
 
-    async def test_success_is_told_once(self) -> None:
-        """Use a target again everywhere after one host was answered by it."""
+    async def test_success_is_reported_once(self) -> None:
+        """Use a target again on all hosts after one success, reported once."""
         self.hosts["a"].fail()
         self.hosts["b"].fail()
-        await self.until_heard("c", 2)
+        await self.wait_until_received("c", 2)
         caught = self.hosts["a"]
         later = asyncio.get_running_loop().time() + 60
         self.assertTrue(caught.health.served(TARGET, later))
         caught.reports.broadcast(TARGET, True)
-        await self.until_heard("c", 3)
+        await self.wait_until_received("c", 3)
         self.assertFalse(self.hosts["c"].passes_over())
         self.assertFalse(caught.health.served(TARGET, later + 1))
