--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -49,7 +49,7 @@
         """Record that a delegate failed while a turn was open."""
 
     def report_end(
-        self, link: Link, opening: OpeningId, lifetime: float, *, handed: int
+        self, link: Link, opening: OpeningId, lifetime: float, *, used: int
     ) -> None:
         """Report the end of a turn to its delegate in the background."""
 
@@ -79,7 +79,7 @@
         self._host = host
         self._link = link
         self._turns = turns
-        self._handed = 0
+        self._used = 0
         self._covered = opened.covered
         self._ended = False
         # The delegate no longer holds the turn, or is being told so. The turn itself
@@ -137,7 +137,7 @@
         """Return whether the grant covers this many more tokens."""
         if self._fallback is not None:
             return self._fallback.covers(tokens)
-        return self._covered is None or self._handed + tokens <= self._covered
+        return self._covered is None or self._used + tokens <= self._covered
 
     async def cover(self, tokens: int) -> bool:
         """Extend the grant if needed; return whether it covers the tokens."""
@@ -155,8 +155,8 @@
         """Ask the delegate to extend its grant; None if the delegate is lost."""
         request = CoverTurnRequest(
             opening=self._opening,
-            total=self._handed + tokens,
-            handed=self._handed,
+            total=self._used + tokens,
+            handed=self._used,
         )
         reply = await call_delegate(
             self._link, request, first_reply_timeout=COVER_FIRST_REPLY_TIMEOUT
@@ -179,7 +179,7 @@
         """
         self._report_end()
         terms = self._start.terms
-        remaining = terms.rest(max(1, terms.most - self._handed))
+        remaining = terms.rest(max(1, terms.most - self._used))
         start = msgspec.structs.replace(self._start, terms=remaining)
         deadline = asyncio.get_running_loop().time() + CALLER_PATIENCE
         while not self._ended and asyncio.get_running_loop().time() < deadline:
@@ -208,7 +208,7 @@
         if self._fallback is not None:
             self._fallback.hand_out(tokens)
         else:
-            self._handed += tokens
+            self._used += tokens
 
     async def commit(self, given: bytes, produced: bytes) -> None:
         """Append the turn to the history; return when that is durable."""
@@ -234,13 +234,13 @@
             return
         self._end_reported = True
         self._turns.report_end(
-            self._link, self._opening, self._start.lifetime, handed=self._handed
+            self._link, self._opening, self._start.lifetime, used=self._used
         )
 
     async def _commit_at_delegate(self, content: TurnContent) -> None:
         terms = self._start.terms
         request = CommitTurnRequest(
-            opening=self._opening, terms=terms, handed=self._handed, content=content
+            opening=self._opening, terms=terms, handed=self._used, content=content
         )
         reply = await call_delegate(self._link, request)
         if isinstance(reply, Accepted):
--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -126,7 +126,7 @@
             )
         except asyncio.CancelledError:
             # The caller left; release what the delegate may have reserved.
-            self.report_end(link, opening, start.lifetime, handed=0)
+            self.report_end(link, opening, start.lifetime, used=0)
             raise
         if isinstance(reply, TurnOpened):
             self._delegates.peer_health.record_success(host)
@@ -143,7 +143,7 @@
             return _definite_refusal(reply)
         # The delegate may still open the turn. Without this report it would hold the
         # tokens for the turn's lifetime and then count them as used.
-        self.report_end(link, opening, start.lifetime, handed=0)
+        self.report_end(link, opening, start.lifetime, used=0)
         self._record_open_failure(host, start, reply)
         return None
 
@@ -161,13 +161,13 @@
         )
 
     def report_end(
-        self, link: Link, opening: OpeningId, lifetime: float, *, handed: int
+        self, link: Link, opening: OpeningId, lifetime: float, *, used: int
     ) -> None:
         """Report the end of a turn to its delegate in the background.
 
         Retries for the turn's lifetime in seconds, as long as the delegate holds it.
         """
-        request = CloseTurnRequest(opening=opening, handed=handed)
+        request = CloseTurnRequest(opening=opening, handed=used)
         self._notifier.notify(link, request, retry_for=lifetime)
 
     def _next_opening(self) -> OpeningId:
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -74,7 +74,7 @@
         self._end_reported = True
         lifetime = self._start.lifetime
         assert isinstance(self._turns, DelegatedTurns)
-        report(self._turns, self._link, self._opening, lifetime, handed=self._handed)
+        report(self._turns, self._link, self._opening, lifetime, used=self._used)
 
     setattr(DelegatedTurns, "report_end", report_end)  # noqa: B010
     setattr(DelegatedTurn, "_report_end", report_own_end)  # noqa: B010
