--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -45,7 +45,7 @@
 
     Turns of one program arrive at all gateways of a data centre. The delegate keeps
     the history and the grants in memory, so that the others need not read the log
-    and turns continue while the store is down.
+    and turns continue while the store is unavailable.
 
     The log remains authoritative: two delegates at once, or none, only cost extra
     calls.
@@ -129,7 +129,7 @@
             self.report_end(link, opening, start.lifetime, used=0)
             raise
         if isinstance(reply, TurnOpened):
-            self._delegates.peer_health.record_success(host)
+            self._delegates.peer_health.request_succeeded(host)
             return DelegatedTurn(
                 opening=opening,
                 start=start,
@@ -139,7 +139,7 @@
                 turns=self,
             )
         if isinstance(reply, TurnRefused):
-            self._delegates.peer_health.record_success(host)
+            self._delegates.peer_health.request_succeeded(host)
             return _definite_refusal(reply)
         # The delegate may still open the turn. Without this report it would hold the
         # tokens for the turn's lifetime and then count them as used.
@@ -151,7 +151,7 @@
         self, host: HostName, start: TurnStart, reply: Reply
     ) -> None:
         """Record that a delegate failed to open a turn."""
-        self._delegates.peer_health.record_failure(host, failure_reason(reply))
+        self._delegates.peer_health.request_failed(host, failure_reason(reply))
         log.info(
             "turn {} of {} goes on here, as {} did not open it: {}",
             start.terms.turn,
@@ -185,7 +185,7 @@
     def delegate_lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
         """Record that a delegate failed while a turn was open."""
         log.info("turn {} lost its delegate {}: {}", turn, host, failure_reason(reply))
-        self._delegates.peer_health.record_failure(host, failure_reason(reply))
+        self._delegates.peer_health.request_failed(host, failure_reason(reply))
 
     @property
     def ledger(self) -> Ledger:
--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -51,7 +51,7 @@
 class QuotaOptions(msgspec.Struct, frozen=True, kw_only=True):
     """Rate limits of workspaces and how they are enforced.
 
-    A process keeps shares of limits only while its view of the registrations is at
+    A process serves its shares of limits only while its view of the registrations is at
     most `lease` seconds old. It polls registrations for up to `wait` seconds at a
     time.
     """
@@ -91,7 +91,7 @@
             book=self.loans,
             claims=claims,
             peer_health=peer_health,
-            seen_from=self._seen_from,
+            view_as_of=self._view_as_of,
         )
         self._loan_service = LoanService(
             writer=writer,
@@ -130,7 +130,7 @@
         self.limiter = Limiter(
             bounds=limits.bounds,
             limits=limits.of,
-            keeps=self._keeps_share,
+            keeps=self._owns_share,
             term=lambda: self.tenure.term,
             since=lambda: self.tenure.since,
             clock=boot_time,
@@ -196,7 +196,7 @@
         self.tenure.cease()
         await self._peers.unregister(self._log, self._writer)
 
-    def _seen_from(self) -> float:
+    def _view_as_of(self) -> float:
         """Return the boot time as of which claims and registrations are known."""
         return min(follower.seen_from for follower in self._followers)
 
@@ -221,8 +221,8 @@
         else:
             self.tenure.registered(own=writer == self._writer, ordered=ordered)
 
-    def _keeps_share(self, workspace: Workspace, share: int) -> bool:
-        """Return whether this process keeps a share of a workspace's limit."""
+    def _owns_share(self, workspace: Workspace, share: int) -> bool:
+        """Return whether this process owns a share of a workspace's limit."""
         keepers = self._keepers.of(workspace)
         ranked = share < len(keepers) and keepers[share] == self._own
         return ranked and self.tenure.acts
--- a/sequoiaarch/fleet/loan_service.py
+++ b/sequoiaarch/fleet/loan_service.py
@@ -37,13 +37,13 @@
     """Tokens that a lender provides for a turn."""
 
     def __init__(
-        self, *, loan: LoanId, terms: TurnTerms, tokens: int, lenders: LoanService
+        self, *, loan: LoanId, terms: TurnTerms, tokens: int, service: LoanService
     ) -> None:
         self.terms = terms
         self._loan = loan
         self._tokens = tokens
-        self._lenders = lenders
-        self._handed = 0
+        self._service = service
+        self._used = 0
         self._closed = False
 
     @property
@@ -68,7 +68,7 @@
     async def cover(self, total: int) -> bool:
         """Increase the loan if needed; return whether it covers `total` tokens."""
         if total > self._tokens and not self._closed:
-            increased = await self._lenders.increase(self._loan, self.terms)
+            increased = await self._service.increase(self._loan, self.terms)
             # A request that fails yields 0, but a loan never shrinks: what was lent
             # may have been used already.
             self._tokens = max(self._tokens, increased)
@@ -78,20 +78,20 @@
 
     def hand_out(self, tokens: int) -> None:
         """Count tokens sent to the caller."""
-        self._handed += tokens
+        self._used += tokens
 
     def close(self) -> None:
         """Settle the loan; idempotent."""
         if not self._closed:
             self._closed = True
-            self._lenders.settle(self._loan, self.terms, self._handed)
+            self._service.settle(self._loan, self.terms, self._used)
 
 
 class LoanService:
     """Lends budget tokens to other processes and borrows from them.
 
-    Programs can start and continue on loans while the store is down and no grant can
-    be written.
+    Programs can start and continue on loans while the store is unavailable and no
+    grant can be written.
     """
 
     def __init__(
@@ -126,7 +126,7 @@
                 continue
             tokens = await self._borrow_from(host, request)
             if tokens:
-                return Loan(loan=request.loan, terms=terms, tokens=tokens, lenders=self)
+                return Loan(loan=request.loan, terms=terms, tokens=tokens, service=self)
             asked += 1
             if asked == MAX_LENDERS_ASKED:
                 break
@@ -141,13 +141,13 @@
         reply = await link.call(request, timeout=ASK_TIMEOUT)
         return reply.tokens if isinstance(reply, Lent) else 0
 
-    def settle(self, loan: LoanId, terms: TurnTerms, handed: int) -> None:
+    def settle(self, loan: LoanId, terms: TurnTerms, used: int) -> None:
         """Report the used tokens of a loan to its lender in the background."""
         link = self._lender_links.pop(loan)
         if link is None:
-            self._book.settle(loan, terms.program, handed)
+            self._book.settle(loan, terms.program, used)
         else:
-            self._send_settlement(link, loan, terms, handed)
+            self._send_settlement(link, loan, terms, used)
 
     def answer(self, request: Request) -> Reply:
         """Handle a request of a borrower."""
@@ -178,18 +178,18 @@
             raise
         if not isinstance(reply, Lent):
             # The tokens may have been lent although the reply was lost: return all.
-            self._peer_health.record_failure(host, str(reply))
+            self._peer_health.request_failed(host, str(reply))
             self._send_settlement(link, request.loan, request.terms, 0)
             return 0
-        self._peer_health.record_success(host)
+        self._peer_health.request_succeeded(host)
         if reply.tokens:
             self._lender_links[request.loan] = link
         return reply.tokens
 
     def _send_settlement(
-        self, link: Link, loan: LoanId, terms: TurnTerms, handed: int
+        self, link: Link, loan: LoanId, terms: TurnTerms, used: int
     ) -> None:
-        request = SettleRequest(loan=loan, program=terms.program, handed=handed)
+        request = SettleRequest(loan=loan, program=terms.program, handed=used)
         self._notifier.notify(link, request, retry_for=SETTLE_RETRY_PERIOD)
 
     def _lend(self, request: LendRequest) -> int:
--- a/sequoiaarch/fleet/peer_health.py
+++ b/sequoiaarch/fleet/peer_health.py
@@ -36,7 +36,7 @@
         """Return whether a peer failed so often in a row that it may be gone."""
         return self._failures[host] >= GONE_FAILURES
 
-    def record_failure(self, host: HostName, reason: str) -> None:
+    def request_failed(self, host: HostName, reason: str) -> None:
         """Start or double the backoff of a peer, unless one is running."""
         if not self.usable(host):
             return
@@ -46,7 +46,7 @@
         self._until[host] = asyncio.get_running_loop().time() + pause
         log.info("peer {} is not sent requests for {} s: {}", host, pause, reason)
 
-    def record_success(self, host: HostName) -> None:
+    def request_succeeded(self, host: HostName) -> None:
         """Reset the backoff of a peer that answered."""
         self._pause.pop(host, None)
         self._failures.pop(host, None)
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -1,4 +1,4 @@
-"""Take rate-limit tokens from the hosts that keep a workspace's limit."""
+"""Take rate-limit tokens from the hosts that own shares of a limit."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from .peer_health import PeerHealth
 from .peers import Peers
 
-# Keepers answer from memory. Seconds.
+# Share owners answer from memory. Seconds.
 ASK_TIMEOUT = 0.1
 
 
 class FleetQuotas:
-    """Takes rate-limit tokens from the keepers of shares, the nearest first."""
+    """Takes rate-limit tokens from the owners of shares, the nearest first."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         return TokensTaken(tokens=tokens)
 
     def _shares_nearest_first(self, workspace: Workspace) -> list[tuple[int, HostName]]:
-        """Return the shares with their keepers, nearest first."""
+        """Return the shares with their owners, nearest first."""
         near = {self._own, *self._peers.neighbours()}
         shares = list(enumerate(self._keepers.of(workspace)))
         shares.sort(key=lambda entry: (entry[1] != self._own, entry[1] not in near))
@@ -95,7 +95,7 @@
         )
         reply = await link.call(request, timeout=ASK_TIMEOUT)
         if not isinstance(reply, TokensTaken):
-            self._peer_health.record_failure(host, str(reply))
+            self._peer_health.request_failed(host, str(reply))
             return NOT_KEPT
-        self._peer_health.record_success(host)
+        self._peer_health.request_succeeded(host)
         return reply.tokens
--- a/sequoiaarch/fleet/ranking.py
+++ b/sequoiaarch/fleet/ranking.py
@@ -55,10 +55,10 @@
         if version != self._seen:
             self._orders.clear()
             self._seen = version
-        found = self._orders.get(slot)
-        if found is None:
+        ranking = self._orders.get(slot)
+        if ranking is None:
             name = slot_name(slot)
             hosts = [self._own, *self._hosts()]
-            found = sorted(hosts, key=lambda host: score(name, host), reverse=True)
-            self._orders[slot] = found
-        return found
+            ranking = sorted(hosts, key=lambda host: score(name, host), reverse=True)
+            self._orders[slot] = ranking
+        return ranking
--- a/sequoiaarch/fleet/registration_check.py
+++ b/sequoiaarch/fleet/registration_check.py
@@ -1,4 +1,4 @@
-"""Check that all hosts see this host's registration before it keeps shares."""
+"""Check that all hosts see this host's registration before it serves shares."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 class RegistrationCheck:
     """Asks all registered hosts whether they see this host's registration.
 
-    A host with an older view may still keep a share that is now assigned to this
+    A host with an older view may still serve a share that is now owned by this
     host. If one does not answer, this host waits until the lease of such a view has
     expired.
     """
@@ -34,7 +34,7 @@
         self._tenure = tenure
 
     async def run(self) -> None:
-        """Ask repeatedly while this host waits to keep its shares."""
+        """Ask repeatedly while this host waits to serve its shares."""
         while True:
             await asyncio.sleep(ASK_INTERVAL)
             if self._tenure.waits and await self._seen_by_all():
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -57,7 +57,7 @@
         book: LoanBook,
         claims: Claims,
         peer_health: PeerHealth,
-        seen_from: Callable[[], float] = boot_time,
+        view_as_of: Callable[[], float] = boot_time,
         clock: Callable[[], float] = boot_time,
     ) -> None:
         self._writer = writer
@@ -66,7 +66,7 @@
         self._book = book
         self._claims = claims
         self._peer_health = peer_health
-        self._seen_from = seen_from
+        self._view_as_of = view_as_of
         self._clock = clock
         self.expiry = ClaimExpiry()
         self._stopped = False
@@ -76,7 +76,7 @@
         """Return this process's rank for a program; None if it may not lend."""
         if self._stopped or not self._peers.own_registration_is(self._writer):
             return None
-        if self._clock() - self._seen_from() > LENDING_LEASE:
+        if self._clock() - self._view_as_of() > LENDING_LEASE:
             return None
         for lender in self._claims.lenders_of(slot_of(program)):
             if lender.writer == self._writer:
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -135,12 +135,12 @@
         opened.hand_out_total(request.handed)
         await opened.commit_for(request.content)
 
-    def _close(self, opening: OpeningId, handed: int) -> None:
+    def _close(self, opening: OpeningId, used: int) -> None:
         opened = self._open.pop(opening, None)
         if opened is None:
             self._record_early_end(opening)
             return
-        opened.hand_out_total(handed)
+        opened.hand_out_total(used)
         opened.close()
 
     def _record_early_end(self, opening: OpeningId) -> None:
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -179,12 +179,12 @@
         """Replace the delegate's request handler."""
         self.delegate.server.fallback = answer  # type: ignore[assignment]
 
-    async def opened(self, process: Process, begun: TurnStart) -> OpenTurn:
+    async def opened(self, process: Process, turn_start: TurnStart) -> OpenTurn:
         """Open a turn and assert that it fits the budget."""
-        found = await process.turns.open(begun)
-        assert isinstance(found, LocalTurn | DelegatedTurn), found
-        self.assertIs(await found.verdict(), BudgetVerdict.FITS)
-        return found
+        result = await process.turns.open(turn_start)
+        assert isinstance(result, LocalTurn | DelegatedTurn), result
+        self.assertIs(await result.verdict(), BudgetVerdict.FITS)
+        return result
 
     async def granted(self, *processes: Process) -> int:
         """Return the tokens granted to processes, as a fresh reader of the log sees."""
@@ -204,14 +204,14 @@
 
     def delay_cover_requests(self, end: asyncio.Event) -> None:
         """Delay requests for more tokens at the delegate until an event is set."""
-        before = self.delegate.turn_server.answer
+        original_handler = self.delegate.turn_server.answer
 
-        async def overtaken(request: Request, send: Send) -> Reply:
+        async def delayed(request: Request, send: Send) -> Reply:
             if isinstance(request, CoverTurnRequest):
                 await end.wait()
-            return await before(request, send)
+            return await original_handler(request, send)
 
-        self.set_delegate_handler(overtaken)
+        self.set_delegate_handler(delayed)
 
     async def start_fallback(self) -> tuple[OpenTurn, asyncio.Task[bool]]:
         """Return a turn whose delegate was lost, and its pending request for tokens.
@@ -229,15 +229,15 @@
         waiting = asyncio.Event()
         verdict = LocalTurn.verdict
 
-        async def noted(taken: LocalTurn) -> BudgetVerdict:
+        async def recorded_verdict(taken: LocalTurn) -> BudgetVerdict:
             waiting.set()
             return await verdict(taken)
 
-        with mock.patch.object(LocalTurn, "verdict", noted):
-            asking = asyncio.create_task(turn.cover(10))
+        with mock.patch.object(LocalTurn, "verdict", recorded_verdict):
+            pending = asyncio.create_task(turn.cover(10))
             async with asyncio.timeout(TEST_TIMEOUT):
                 await waiting.wait()
-        return turn, asking
+        return turn, pending
 
     async def assert_grant_released(self) -> None:
         """Assert that the gateway releases its own grant."""
@@ -251,13 +251,13 @@
                 await asyncio.sleep(0.01)
 
     async def run_turn(
-        self, process: Process, begun: TurnStart, given: bytes, made: bytes
+        self, process: Process, turn_start: TurnStart, given: bytes, produced: bytes
     ) -> OpenTurn:
         """Run and commit a turn that uses ten tokens."""
-        turn = await self.opened(process, begun)
+        turn = await self.opened(process, turn_start)
         turn.announce()
         turn.hand_out(10)
-        await turn.commit(given, made)
+        await turn.commit(given, produced)
         turn.close()
         return turn
 
@@ -285,8 +285,8 @@
 
     async def test_unknown_previous_turn(self) -> None:
         """Report an unknown previous turn as absent."""
-        found = await self.other.turns.open(start("t2", previous="nothing"))
-        self.assertIs(found, Lookup.ABSENT)
+        result = await self.other.turns.open(start("t2", previous="nothing"))
+        self.assertIs(result, Lookup.ABSENT)
 
     async def test_unresponsive_delegate(self) -> None:
         """Open a turn locally if the delegate does not answer.
@@ -310,19 +310,19 @@
         """Commit a turn locally if the delegate does not answer the commit."""
         turn = await self.opened(self.other, start("t1"))
         turn.announce()
-        before = self.delegate.turn_server.answer
+        original_handler = self.delegate.turn_server.answer
 
-        async def lost(request: Request, send: Send) -> Reply:
+        async def drop_commit(request: Request, send: Send) -> Reply:
             if isinstance(request, CommitTurnRequest):
                 await asyncio.Event().wait()
-            return await before(request, send)
+            return await original_handler(request, send)
 
-        self.set_delegate_handler(lost)
+        self.set_delegate_handler(drop_commit)
         await turn.commit(b"in", b"out")
         fresh = Ledger(log=self.store.client(), writer="x", places=Places(per_topic=2))
-        found = await fresh.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
-        self.assertEqual(found.prompt, b"inout")
+        result = await fresh.history(PROGRAM, TurnId("t1"))
+        assert not isinstance(result, Lookup)
+        self.assertEqual(result.prompt, b"inout")
 
     async def test_delegate_restarts_during_turn(self) -> None:
         """Commit through a delegate that restarted and lost its open turns."""
@@ -332,9 +332,9 @@
         restarted = TurnServer(local=LocalTurns(ledger=ledger), ledger=ledger)
         self.set_delegate_handler(restarted.answer)
         await turn.commit(b"in", b"out")
-        found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
-        self.assertEqual(found.prompt, b"inout")
+        result = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
+        assert not isinstance(result, Lookup)
+        self.assertEqual(result.prompt, b"inout")
 
     async def test_delegate_extends_grant(self) -> None:
         """Extend a partial grant at the delegate in the middle of a stream."""
@@ -365,9 +365,9 @@
         self.assertIn("after all", turn.where)
         turn.announce()
         await turn.commit(b"in", b"out")
-        found = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
-        assert not isinstance(found, Lookup)
-        self.assertEqual(found.prompt, b"inout")
+        result = await self.delegate.ledger.history(PROGRAM, TurnId("t1"))
+        assert not isinstance(result, Lookup)
+        self.assertEqual(result.prompt, b"inout")
 
     async def test_commit_overtakes_cover_request(self) -> None:
         """Keep using a delegate that gets a request for tokens after the commit.
@@ -380,11 +380,11 @@
         turn.announce()
         ended = asyncio.Event()
         self.delay_cover_requests(ended)
-        asking = asyncio.create_task(turn.cover(10))
+        pending = asyncio.create_task(turn.cover(10))
         await asyncio.sleep(0)
         await turn.commit(b"in", b"out")
         ended.set()
-        covered = await asking
+        covered = await pending
         self.assertEqual(self.other.delegates.delegate_of(PROGRAM), self.delegate.name)
         self.assertFalse(covered)
         self.assertEqual(await self.granted(self.other), 0)
@@ -397,12 +397,12 @@
         turn.hand_out(30)
         ended = asyncio.Event()
         self.delay_cover_requests(ended)
-        asking = asyncio.create_task(turn.cover(10))
+        pending = asyncio.create_task(turn.cover(10))
         await asyncio.sleep(0)
         turn.close()
         await self.wait_until_closed(within=TEST_TIMEOUT)
         ended.set()
-        covered = await asking
+        covered = await pending
         self.assertEqual(self.other.delegates.delegate_of(PROGRAM), self.delegate.name)
         self.assertFalse(covered)
         self.assertEqual(await self.granted(self.other), 0)
@@ -412,31 +412,31 @@
 
         A reservation left open would block that part of the budget for good.
         """
-        turn, asking = await self.start_fallback()
-        asking.cancel()
-        await asyncio.wait([asking])
+        turn, pending = await self.start_fallback()
+        pending.cancel()
+        await asyncio.wait([pending])
         turn.close()
         await self.assert_grant_released()
 
     async def test_turn_ends_during_fallback(self) -> None:
         """Release a local reservation whose turn ends before it is granted."""
-        turn, asking = await self.start_fallback()
+        turn, pending = await self.start_fallback()
         turn.close()
-        self.assertFalse(await asking)
+        self.assertFalse(await pending)
         await self.assert_grant_released()
 
     async def test_slow_delegate_during_stream(self) -> None:
         """Wait longer for a busy delegate in a running stream than at its start."""
         turn = await self.opened(self.other, start("t1", budget=3 * MAX_TOKENS))
         turn.hand_out(30)
-        before = self.delegate.turn_server.answer
+        original_handler = self.delegate.turn_server.answer
 
-        async def slow(request: Request, send: Send) -> Reply:
+        async def delayed(request: Request, send: Send) -> Reply:
             if isinstance(request, CoverTurnRequest):
                 await asyncio.sleep(0.2)
-            return await before(request, send)
+            return await original_handler(request, send)
 
-        self.set_delegate_handler(slow)
+        self.set_delegate_handler(delayed)
         self.assertTrue(await turn.cover(30))
         self.assertNotIn("after all", turn.where)
         turn.close()
@@ -449,10 +449,10 @@
         turn = await self.opened(self.other, start("t1", budget=MAX_TOKENS + 40))
         turn.hand_out(30)
 
-        async def forgotten(request: Request, send: Send) -> Reply:
+        async def reject(request: Request, send: Send) -> Reply:
             return failure_reply("not open here")
 
-        self.set_delegate_handler(forgotten)
+        self.set_delegate_handler(reject)
         with mock.patch.object(budgets_module, "RETURN_BOUND", 0.5):
             self.assertTrue(await turn.cover(70))
         turn.close()
@@ -462,11 +462,11 @@
 
         The tokens granted to the delegate count for the gateway's own account.
         """
-        handed = 0
+        used = 0
         for number in range(4):
             turn = await self.opened(self.other, start(f"t{number}", kept=False))
             turn.hand_out(MAX_TOKENS)
-            handed += MAX_TOKENS
+            used += MAX_TOKENS
             turn.close()
 
         async def frozen(request: Request, send: Send) -> Reply:
@@ -475,19 +475,19 @@
 
         self.set_delegate_handler(frozen)
         for number in range(20):
-            found = await self.other.turns.open(start(f"u{number}", kept=False))
-            if isinstance(found, Lookup | BudgetVerdict):
+            result = await self.other.turns.open(start(f"u{number}", kept=False))
+            if isinstance(result, Lookup | BudgetVerdict):
                 break
-            if await found.verdict() is BudgetVerdict.FITS:
-                found.hand_out(MAX_TOKENS)
-                handed += MAX_TOKENS
-            found.close()
-        self.assertLessEqual(handed, BUDGET)
+            if await result.verdict() is BudgetVerdict.FITS:
+                result.hand_out(MAX_TOKENS)
+                used += MAX_TOKENS
+            result.close()
+        self.assertLessEqual(used, BUDGET)
 
     async def test_concurrent_turns_share_no_grant(self) -> None:
         """Never cover a turn with tokens that were granted to a concurrent one.
 
-        With the store down, both turns could otherwise use the same tokens, and more
+        Without the store, both turns could otherwise use the same tokens, and more
         than the log grants would go out.
         """
         budget = int(3.9 * MAX_TOKENS)
@@ -498,13 +498,13 @@
             for name in ("t1", "t2")
         ]
         self.delegate.client.faults.down = True
-        handed = 0
+        used = 0
         for turn, tokens in zip(turns, (64, 34), strict=True):
             self.assertIsInstance(turn, DelegatedTurn)
             if await turn.cover(tokens):
                 turn.hand_out(tokens)
-                handed += tokens
-        self.assertLessEqual(handed, await self.granted(self.delegate))
+                used += tokens
+        self.assertLessEqual(used, await self.granted(self.delegate))
 
     async def test_gateway_lost_during_turn(self) -> None:
         """Count a whole turn as used if its gateway never reports the end."""
@@ -540,23 +540,23 @@
         await first.commit(b"in", b"out")
         self.assertEqual(self.delegate.turn_server.open_turns, 0)
 
-    async def test_store_down(self) -> None:
-        """Serve turns from the delegate's grant while the store is down."""
+    async def test_store_unavailable(self) -> None:
+        """Serve turns from the delegate's grant while the store is unavailable."""
         first = await self.opened(self.other, start("t0", kept=False))
         first.hand_out(10)
         first.close()
         for process in (self.delegate, self.other):
             process.client.faults.down = True
-        ran = 0
+        opened_turns = 0
         for number in range(8):
             process = (self.delegate, self.other)[number % 2]
-            found = await process.turns.open(start(f"t{number + 1}", kept=False))
-            if isinstance(found, Lookup | BudgetVerdict):
+            result = await process.turns.open(start(f"t{number + 1}", kept=False))
+            if isinstance(result, Lookup | BudgetVerdict):
                 break
-            ran += 1
-            found.hand_out(10)
-            found.close()
-        self.assertGreaterEqual(ran, 2)
+            opened_turns += 1
+            result.hand_out(10)
+            result.close()
+        self.assertGreaterEqual(opened_turns, 2)
 
 
 class LateDelegateTests(DelegatesTestCase):
@@ -564,12 +564,12 @@
 
     def reply_late(self, kind: type[Request]) -> None:
         """Make the delegate handle a kind of request but reply too late."""
-        before = self.delegate.turn_server.answer
+        original_handler = self.delegate.turn_server.answer
 
         async def answer(request: Request, send: Send) -> Reply:
             if not isinstance(request, kind):
-                return await before(request, send)
-            work = asyncio.create_task(before(request, discard_reply))
+                return await original_handler(request, send)
+            work = asyncio.create_task(original_handler(request, discard_reply))
             await asyncio.sleep(LATE_REPLY_DELAY)
             return await work
 
@@ -577,14 +577,14 @@
 
     def ignore_first(self, kind: type[Request]) -> None:
         """Make the delegate ignore the first request of a kind."""
-        before = self.delegate.turn_server.answer
-        missed: list[Request] = []
+        original_handler = self.delegate.turn_server.answer
+        ignored: list[Request] = []
 
         async def answer(request: Request, send: Send) -> Reply:
-            if isinstance(request, kind) and not missed:
-                missed.append(request)
+            if isinstance(request, kind) and not ignored:
+                ignored.append(request)
                 await asyncio.Event().wait()
-            return await before(request, send)
+            return await original_handler(request, send)
 
         self.set_delegate_handler(answer)
 
@@ -607,14 +607,14 @@
         """
         self.reply_late(OpenTurnRequest)
         budget = int(1.6 * MAX_TOKENS)
-        found: OpenTurn | Lookup | BudgetVerdict = BudgetVerdict.HELD
+        result: OpenTurn | Lookup | BudgetVerdict = BudgetVerdict.HELD
         for number in range(MAX_ATTEMPTS):
-            begun = start(f"t{number}", budget=budget, lifetime=TEST_TIMEOUT)
-            found = await self.other.turns.open(begun)
-            if isinstance(found, LocalTurn | DelegatedTurn):
+            turn_start = start(f"t{number}", budget=budget, lifetime=TEST_TIMEOUT)
+            result = await self.other.turns.open(turn_start)
+            if isinstance(result, LocalTurn | DelegatedTurn):
                 break
             await asyncio.sleep(RETRY_DELAY)
-        self.assertIsInstance(found, LocalTurn | DelegatedTurn)
+        self.assertIsInstance(result, LocalTurn | DelegatedTurn)
 
     async def test_late_opens_count_as_unused(self) -> None:
         """Count turns that were opened too late as unused.
@@ -624,14 +624,14 @@
         self.reply_late(OpenTurnRequest)
         budget = int(1.6 * MAX_TOKENS)
         for number in range(2):
-            found = await self.other.turns.open(start(f"t{number}", budget=budget))
-            if isinstance(found, LocalTurn | DelegatedTurn):
-                found.close()
+            result = await self.other.turns.open(start(f"t{number}", budget=budget))
+            if isinstance(result, LocalTurn | DelegatedTurn):
+                result.close()
             await asyncio.sleep(3 * LIFETIME)
             self.other.delegates.peer_health = PeerHealth()
         await self.wait_until_spent(0)
-        found = await self.other.turns.open(start("t2", budget=budget))
-        self.assertIsInstance(found, LocalTurn | DelegatedTurn)
+        result = await self.other.turns.open(start("t2", budget=budget))
+        self.assertIsInstance(result, LocalTurn | DelegatedTurn)
 
     async def test_late_confirmation_is_released(self) -> None:
         """Count a turn once if its delegate confirms the grant too late.
@@ -689,7 +689,7 @@
 class LostGatewayTests(DelegatesTestCase):
     """Test callers that return after their gateway was lost during a turn."""
 
-    def begun(self, turn: str, *, session: str = "line") -> TurnStart:
+    def small_start(self, turn: str, *, session: str = "line") -> TurnStart:
         """Return the start of a turn under the small budget."""
         return start(
             turn,
@@ -705,23 +705,23 @@
         The delegate must hold only the initial grant of the abandoned turn, not all
         that it might have used.
         """
-        await self.opened(self.other, self.begun("t1"))
-        turn = await self.opened(self.other, self.begun("t2"))
+        await self.opened(self.other, self.small_start("t1"))
+        turn = await self.opened(self.other, self.small_start("t2"))
         self.assertIsInstance(turn, DelegatedTurn)
 
     async def test_caller_comes_back_through_the_delegate(self) -> None:
         """Serve a caller that returns to the delegate itself at once."""
-        await self.opened(self.other, self.begun("t1"))
-        await self.opened(self.delegate, self.begun("t2"))
+        await self.opened(self.other, self.small_start("t1"))
+        await self.opened(self.delegate, self.small_start("t2"))
 
     async def test_lost_turn_counts_whole_grant(self) -> None:
         """Count the whole grant of a lost turn as used when it expires."""
-        begun = start("t1", kept=False, budget=SMALL_BUDGET, session="line")
-        await self.opened(self.other, begun)
-        await self.use_all_tokens(await self.opened(self.other, self.begun("t2")))
+        turn_start = start("t1", kept=False, budget=SMALL_BUDGET, session="line")
+        await self.opened(self.other, turn_start)
+        await self.use_all_tokens(await self.opened(self.other, self.small_start("t2")))
         await self.wait_until_closed(within=TEST_TIMEOUT)
         self.assertEqual(
-            self.delegate.ledger.spent(begun.terms), INITIAL_GRANT + MAX_TOKENS
+            self.delegate.ledger.spent(turn_start.terms), INITIAL_GRANT + MAX_TOKENS
         )
 
     async def test_frozen_gateway_resumes(self) -> None:
@@ -729,8 +729,8 @@
 
         The gateway of the earlier turn was frozen and continues it after waking.
         """
-        earlier = await self.opened(self.other, self.begun("t1"))
-        newer = await self.opened(self.other, self.begun("t2"))
+        earlier = await self.opened(self.other, self.small_start("t1"))
+        newer = await self.opened(self.other, self.small_start("t2"))
         self.assertTrue(await earlier.cover(INITIAL_GRANT))
         earlier.hand_out(INITIAL_GRANT)
         for _ in range(2):
@@ -742,53 +742,55 @@
 
     async def test_earlier_turn_continues_after_newer_one(self) -> None:
         """Let an earlier turn use what the newer one of its caller returned."""
-        earlier = await self.opened(self.other, self.begun("t1"))
-        newer = await self.opened(self.other, self.begun("t2"))
+        earlier = await self.opened(self.other, self.small_start("t1"))
+        newer = await self.opened(self.other, self.small_start("t2"))
         newer.hand_out(10)
         newer.close()
         await self.use_all_tokens(earlier)
 
     async def test_late_end_of_earlier_turn(self) -> None:
         """Count exact usage if a turn's end arrives after the next one began."""
-        earlier = await self.opened(self.other, self.begun("t1"))
+        earlier = await self.opened(self.other, self.small_start("t1"))
         earlier.hand_out(10)
-        newer = await self.opened(self.other, self.begun("t2"))
+        newer = await self.opened(self.other, self.small_start("t2"))
         earlier.close()
         await self.use_all_tokens(newer)
         await self.wait_until_closed(within=TEST_TIMEOUT)
-        spent = self.delegate.ledger.spent(self.begun("t1").terms)
+        spent = self.delegate.ledger.spent(self.small_start("t1").terms)
         self.assertEqual(spent, 10 + MAX_TOKENS)
 
     async def test_late_open_of_earlier_turn(self) -> None:
         """Continue a turn although the opening of an abandoned one arrives late."""
-        newer = await self.opened(self.other, self.begun("t2"))
-        late = await self.opened(self.other, self.begun("t1"))
+        newer = await self.opened(self.other, self.small_start("t2"))
+        late = await self.opened(self.other, self.small_start("t1"))
         newer.hand_out(INITIAL_GRANT)
-        asking = asyncio.create_task(newer.cover(MAX_TOKENS - INITIAL_GRANT))
+        pending = asyncio.create_task(newer.cover(MAX_TOKENS - INITIAL_GRANT))
         await asyncio.sleep(LATE_REPLY_DELAY)
         late.close()
-        self.assertTrue(await asking)
+        self.assertTrue(await pending)
 
     async def test_other_sessions_keep_their_grant(self) -> None:
         """Release turns of the same session only, and none without a session."""
         for first, second in (("line", "other"), ("", "")):
             with self.subTest(first=first, second=second):
-                begun = self.begun(f"t-{first}", session=first)
-                earlier = await self.opened(self.other, begun)
-                found = await self.other.turns.open(self.begun("t2", session=second))
-                self.assertIs(found, BudgetVerdict.HELD)
+                turn_start = self.small_start(f"t-{first}", session=first)
+                earlier = await self.opened(self.other, turn_start)
+                result = await self.other.turns.open(
+                    self.small_start("t2", session=second)
+                )
+                self.assertIs(result, BudgetVerdict.HELD)
                 earlier.close()
                 await self.wait_until_closed(within=TEST_TIMEOUT)
 
     async def test_request_without_session(self) -> None:
         """Accept a turn request without the session field."""
         opening = OpeningId("1")
-        request = OpenTurnRequest(opening=opening, start=self.begun("t1"))
+        request = OpenTurnRequest(opening=opening, start=self.small_start("t1"))
         raw = msgspec.msgpack.decode(encode(request))
         del raw["start"]["terms"]["session"]
-        found = decode_request(msgspec.msgpack.encode(raw))
-        assert isinstance(found, OpenTurnRequest)
-        self.assertEqual(found.start.terms.session, "")
+        result = decode_request(msgspec.msgpack.encode(raw))
+        assert isinstance(result, OpenTurnRequest)
+        self.assertEqual(result.start.terms.session, "")
 
     async def use_all_tokens(self, turn: OpenTurn) -> None:
         """Use all tokens of a turn in ten steps and close it."""
--- a/sequoiaarch/tests/fleet/late_ends_tests.py
+++ b/sequoiaarch/tests/fleet/late_ends_tests.py
@@ -77,35 +77,37 @@
         still uses its grant.
         """
         server = self.delegate.turn_server
-        begun = start("t1", lifetime=TEST_TIMEOUT, budget=MAX_TOKENS)
-        heard = asyncio.Event()
-        again = asyncio.Event()
-        told = asyncio.Event()
+        turn_start = start("t1", lifetime=TEST_TIMEOUT, budget=MAX_TOKENS)
+        end_received = asyncio.Event()
+        release_retry = asyncio.Event()
+        end_handled = asyncio.Event()
 
         async def answer(request: Request, send: Send) -> Reply:
             if isinstance(request, CloseTurnRequest):
-                heard.set()
-                await again.wait()
-                told.set()
-            elif not heard.is_set():
+                end_received.set()
+                await release_retry.wait()
+                end_handled.set()
+            elif not end_received.is_set():
                 await asyncio.Event().wait()
             return await server.answer(request, send)
 
         self.set_delegate_handler(answer)
-        first = await self.other.turns.open(begun)
+        first = await self.other.turns.open(turn_start)
         assert isinstance(first, LocalTurn)
         first.close()
         await self.other.ledger.flush()
-        await heard.wait()
+        await end_received.wait()
         # The caller retries with the same id through another gateway.
-        again_begun = OpenTurnRequest(opening=OpeningId("another/1"), start=begun)
-        opened = await server.answer(again_begun, discard_reply)
+        retried_request = OpenTurnRequest(
+            opening=OpeningId("another/1"), start=turn_start
+        )
+        opened = await server.answer(retried_request, discard_reply)
         assert isinstance(opened, TurnOpened), opened
         assert opened.covered is not None
-        handed = opened.covered
-        again.set()
+        used = opened.covered
+        release_retry.set()
         async with asyncio.timeout(RETRY_LIMIT):
-            while not told.is_set():
+            while not end_handled.is_set():
                 await asyncio.sleep(0.01)
         self.assertEqual(server.open_turns, 1, "the end report closed another turn")
         await self.delegate.ledger.flush()
@@ -113,8 +115,8 @@
             start("t2", lifetime=TEST_TIMEOUT, budget=MAX_TOKENS)
         )
         if isinstance(second, LocalTurn):
-            while handed <= 2 * MAX_TOKENS and await second.cover(10):
+            while used <= 2 * MAX_TOKENS and await second.cover(10):
                 second.hand_out(10)
-                handed += 10
+                used += 10
             second.close()
-        self.assertLessEqual(handed, MAX_TOKENS)
+        self.assertLessEqual(used, MAX_TOKENS)
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -1,4 +1,4 @@
-"""Test turns that run on loans while the store is down."""
+"""Test turns that run on loans while the store is unavailable."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
             split=PartLent(),
         )
         self.book = LoanBook(split=PartLent(), carried=self.claims.carried)
-        self.seen_from = 0.0
+        self.view_as_of = 0.0
         self.now = 0.0
         self.peer_health = PeerHealth()
         self.claimer = SlotClaimer(
@@ -116,10 +116,10 @@
             book=self.book,
             claims=self.claims,
             peer_health=self.peer_health,
-            seen_from=lambda: self.seen_from,
+            view_as_of=lambda: self.view_as_of,
             clock=lambda: self.now,
         )
-        self.lenders = LoanService(
+        self.loan_service = LoanService(
             writer=self.writer,
             own=self.name,
             peers=self.peers,
@@ -128,12 +128,12 @@
             claimer=self.claimer,
             peer_health=self.peer_health,
         )
-        self.turns = LocalTurns(ledger=self.ledger, lender=self.lenders)
+        self.turns = LocalTurns(ledger=self.ledger, lender=self.loan_service)
         self.server.fallback = self.answer
 
     async def answer(self, request: Request, send: Send) -> Reply:
         """Handle a request of a borrower."""
-        return self.lenders.answer(request)
+        return self.loan_service.answer(request)
 
     def start(self) -> list[asyncio.Task[None]]:
         """Start to follow the store, register, claim slots and serve."""
@@ -183,14 +183,14 @@
     async def _answer(self, request: Request, send: Send) -> Reply:
         if isinstance(request, LendRequest):
             await asyncio.sleep(self.lend_delay)
-            reply = self._process.lenders.answer(request)
+            reply = self._process.loan_service.answer(request)
             await asyncio.sleep(self.answer_delay)
             return reply
         if isinstance(request, SettleRequest):
             self.settlements += 1
             if self.settlements <= self.settlements_lost:
                 await asyncio.Event().wait()
-        return self._process.lenders.answer(request)
+        return self._process.loan_service.answer(request)
 
 
 class LoanServiceTests(unittest.IsolatedAsyncioTestCase):
@@ -242,7 +242,7 @@
             while not condition():
                 await asyncio.sleep(0.01)
 
-    def stop_store(self) -> None:
+    def make_store_unavailable(self) -> None:
         """Make the store unreachable for all processes."""
         for process in self.processes:
             process.client.faults.down = True
@@ -251,18 +251,18 @@
         self, process: Process, turn: str, *, most: int = MAX_TOKENS
     ) -> LocalTurn:
         """Open a turn and assert that a loan covers it."""
-        found = await process.turns.open(start(turn, most=most))
-        assert isinstance(found, LocalTurn), found
-        self.assertIsNotNone(found.covered)
-        self.assertIs(await found.verdict(), BudgetVerdict.FITS)
-        return found
+        result = await process.turns.open(start(turn, most=most))
+        assert isinstance(result, LocalTurn), result
+        self.assertIsNotNone(result.covered)
+        self.assertIs(await result.verdict(), BudgetVerdict.FITS)
+        return result
 
     def _knows_lender(self, process: Process) -> bool:
         return bool(process.claims.lenders_of(slot_of(PROGRAM)))
 
-    async def test_program_starts_while_store_is_down(self) -> None:
+    async def test_program_starts_while_store_is_unavailable(self) -> None:
         """Start a new program on a loan; commit when the store is back."""
-        self.stop_store()
+        self.make_store_unavailable()
         turn = await self.open_on_loan(self.other, "turn-1")
         turn.hand_out(30)
         commit = asyncio.create_task(turn.commit(b"in", b"out"))
@@ -273,12 +273,12 @@
         await asyncio.wait_for(commit, TEST_TIMEOUT)
 
     async def test_program_starts_with_partition_already_read(self) -> None:
-        """Lend the whole turn if only a failed grant shows that the store is down.
+        """Lend the whole turn if only a failed grant reveals the store outage.
 
         The gateway has read the log partition before, for another program.
         """
         await self.other.ledger.partition(PROGRAM).sync()
-        self.stop_store()
+        self.make_store_unavailable()
         turn = await self.other.turns.open(start("turn-1", most=300))
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
@@ -286,23 +286,23 @@
 
     async def test_looping_program_is_limited(self) -> None:
         """Limit a looping program to its lendable part over all gateways."""
-        self.stop_store()
-        handed = 0
+        self.make_store_unavailable()
+        used = 0
         for number in range(12):
             process = self.processes[number % 3]
             opened = await process.turns.open(start(f"turn-{number}"))
             if isinstance(opened, LocalTurn):
                 assert opened.covered is not None
                 opened.hand_out(opened.covered)
-                handed += opened.covered
+                used += opened.covered
                 opened.close()
             else:
                 self.assertIs(opened, BudgetVerdict.UNCERTAIN)
-        self.assertEqual(handed, PartLent().lent(BUDGET, 0))
+        self.assertEqual(used, PartLent().lent(BUDGET, 0))
 
     async def test_unused_tokens_are_lent_again(self) -> None:
         """Lend unused tokens again during an outage."""
-        self.stop_store()
+        self.make_store_unavailable()
         for number in range(6):
             turn = await self.open_on_loan(self.other, f"turn-{number}", most=200)
             turn.hand_out(40)
@@ -320,7 +320,7 @@
         self.assertIs(await opened.verdict(), BudgetVerdict.FITS)
         opened.hand_out(30)
         opened.close()
-        self.stop_store()
+        self.make_store_unavailable()
         for number in (2, 3, 4):
             turn = await self.other.turns.open(start(f"turn-{number}"))
             assert isinstance(turn, LocalTurn)
@@ -331,7 +331,7 @@
 
     async def test_partial_loan_is_increased(self) -> None:
         """Use no token beyond a partial loan until it is increased."""
-        self.stop_store()
+        self.make_store_unavailable()
         first = await self.open_on_loan(self.other, "turn-1", most=200)
         second = await self.open_on_loan(self.other, "turn-2", most=300)
         self.assertEqual(second.covered, 175)
@@ -345,7 +345,7 @@
 
     async def test_used_up_loan_continues_in_log(self) -> None:
         """Continue a turn from the log after its loan is used up."""
-        self.stop_store()
+        self.make_store_unavailable()
         await self.open_on_loan(self.other, "turn-1", most=200)
         turn = await self.open_on_loan(self.other, "turn-2", most=300)
         turn.hand_out(170)
@@ -354,14 +354,14 @@
         self.assertTrue(await turn.cover(10))
         self.assertIsNone(turn.covered)
 
-    async def test_store_down_between_grants(self) -> None:
-        """Continue a partly granted turn on a loan if the store goes down."""
+    async def test_store_unavailable_between_grants(self) -> None:
+        """Continue a partly granted turn on a loan if the store becomes unavailable."""
         turn = await self.other.turns.open(start("turn-1", budget=600, most=300))
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
         self.assertEqual(turn.covered, 100)
         turn.hand_out(90)
-        self.stop_store()
+        self.make_store_unavailable()
         self.assertTrue(await turn.cover(60))
         self.assertIn("lent", turn.where)
         turn.hand_out(60)
@@ -375,7 +375,7 @@
         assert isinstance(turn, LocalTurn)
         self.assertIs(await turn.verdict(), BudgetVerdict.FITS)
         turn.hand_out(160)
-        self.stop_store()
+        self.make_store_unavailable()
         covering = asyncio.create_task(turn.cover(200))
         await asyncio.sleep(0.5)
         self.assertFalse(covering.done())
@@ -388,14 +388,14 @@
 
         The claim may have been removed meanwhile and its rank taken by another process.
         """
-        self.stop_store()
+        self.make_store_unavailable()
         self.lender.now = LENDING_LEASE + 1
         refused = await self.other.turns.open(start("turn-1"))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
 
-    async def test_lender_and_store_down(self) -> None:
-        """Refuse with an uncertain budget if the lender and the store are down."""
-        self.stop_store()
+    async def test_lender_and_store_unavailable(self) -> None:
+        """Refuse with an uncertain budget if neither lender nor store is available."""
+        self.make_store_unavailable()
         self.kill(str(self.lender.name))
         self.lender.server.close()
         refused = await self.other.turns.open(start("turn-1"))
@@ -412,12 +412,12 @@
         for process in left:
             for _ in range(GONE_FAILURES):
                 process.peer_health._until.clear()
-                process.peer_health.record_failure(self.lender.name, "no reply")
+                process.peer_health.request_failed(self.lender.name, "no reply")
         await self.wait_until(lambda: any(one.rank == 1 for one in left))
         await self.wait_until(
             lambda: len(self.other.claims.lenders_of(slot_of(PROGRAM))) == 2
         )
-        self.stop_store()
+        self.make_store_unavailable()
         await self.open_on_loan(self.other, "turn-1", most=90)
 
     async def test_claim_of_registered_process_is_kept(self) -> None:
@@ -430,7 +430,7 @@
         self.other.claimer.expiry = ClaimExpiry(clock=clock)
         for _ in range(GONE_FAILURES):
             self.other.peer_health._until.clear()
-            self.other.peer_health.record_failure(self.lender.name, "no reply")
+            self.other.peer_health.request_failed(self.lender.name, "no reply")
         self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
         clock.return_value = 100 * LENDING_LEASE
         self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
@@ -441,12 +441,12 @@
         It does not know what the killed process lent; together they must stay within
         the lendable part.
         """
-        self.stop_store()
-        handed = 0
+        self.make_store_unavailable()
+        used = 0
         for number in range(8):
             opened = await self.other.turns.open(start(f"turn-{number}"))
             if isinstance(opened, LocalTurn):
-                handed += opened.covered or 0
+                used += opened.covered or 0
         name = str(self.lender.name)
         self.kill(name)
         for process in self.processes:
@@ -463,17 +463,17 @@
         await self.wait_until(lambda: fresh.rank is not None)
         self.assertEqual(fresh.rank, 1)
         await self.wait_until(lambda: self.other.claimer.host(fresh.writer) is not None)
-        self.stop_store()
+        self.make_store_unavailable()
         turn = await self.open_on_loan(self.other, "turn-last", most=90)
-        handed += turn.covered or 0
-        self.assertLessEqual(handed, BUDGET // 4)
+        used += turn.covered or 0
+        self.assertLessEqual(used, BUDGET // 4)
 
     async def test_planned_stop_passes_on_rank(self) -> None:
         """Pass on the rank and the loans of a lender that stops as planned.
 
         The successor lends only what is left of the same part.
         """
-        self.stop_store()
+        self.make_store_unavailable()
         turn = await self.open_on_loan(self.other, "turn-1", most=100)
         turn.hand_out(100)
         turn.close()
@@ -493,21 +493,21 @@
 
     async def test_lost_settlement_of_late_loan(self) -> None:
         """Retry the lost settlement of a loan that came too late to be used."""
-        self.stop_store()
-        slow = UnreliableLender(self.lender)
-        slow.answer_delay = 2 * ASK_TIMEOUT
-        slow.settlements_lost = 1
+        self.make_store_unavailable()
+        lender_link = UnreliableLender(self.lender)
+        lender_link.answer_delay = 2 * ASK_TIMEOUT
+        lender_link.settlements_lost = 1
         refused = await self.other.turns.open(start("turn-1", most=300))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
-        await self.wait_until(lambda: slow.settlements > 0)
+        await self.wait_until(lambda: lender_link.settlements > 0)
         await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {})
 
     async def test_lost_settlement(self) -> None:
         """Retry a lost settlement, so that unused tokens can be lent again."""
-        self.stop_store()
-        slow = UnreliableLender(self.lender)
-        slow.settlements_lost = 1
+        self.make_store_unavailable()
+        lender_link = UnreliableLender(self.lender)
+        lender_link.settlements_lost = 1
         turn = await self.open_on_loan(self.other, "turn-1", most=300)
         turn.hand_out(40)
         turn.close()
@@ -517,37 +517,37 @@
 
     async def test_loan_request_after_settlement(self) -> None:
         """Refuse a loan request that is handled after its settlement."""
-        self.stop_store()
-        slow = UnreliableLender(self.lender)
-        slow.lend_delay = 3 * ASK_TIMEOUT
+        self.make_store_unavailable()
+        lender_link = UnreliableLender(self.lender)
+        lender_link.lend_delay = 3 * ASK_TIMEOUT
         refused = await self.other.turns.open(start("turn-1", most=300))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
-        await self.wait_until(lambda: slow.settlements > 0)
+        await self.wait_until(lambda: lender_link.settlements > 0)
         await asyncio.sleep(3 * ASK_TIMEOUT)
         self.assertEqual(self.lender.book.totals(), {})
 
     async def test_turn_ends_during_borrow(self) -> None:
         """Return a loan that is granted after its turn was closed."""
         await self.other.ledger.partition(PROGRAM).sync()
-        self.stop_store()
+        self.make_store_unavailable()
         # The turn waits for the log, and borrows within its verdict.
         begun = LocalTurns(ledger=self.other.ledger, lender=NoLender())
         turn = await begun.open(start("turn-1", most=300))
         assert isinstance(turn, LocalTurn)
-        turn._lender = self.other.lenders
-        slow = UnreliableLender(self.lender)
-        slow.answer_delay = ASK_TIMEOUT / 2
+        turn._lender = self.other.loan_service
+        lender_link = UnreliableLender(self.lender)
+        lender_link.answer_delay = ASK_TIMEOUT / 2
         verdict = asyncio.create_task(turn.verdict())
         await self.wait_until(self._has_open_loans)
         turn.close()
-        found = await verdict
+        result = await verdict
         await asyncio.sleep(2 * ASK_TIMEOUT)
         self.assertEqual(self.lender.book.totals(), {})
-        self.assertIsNot(found, BudgetVerdict.FITS)
+        self.assertIsNot(result, BudgetVerdict.FITS)
 
     async def test_lost_reply_to_increase(self) -> None:
         """Keep the tokens of a loan if the reply to an increase is lost."""
-        self.stop_store()
+        self.make_store_unavailable()
         first = await self.open_on_loan(self.other, "turn-1", most=200)
         second = await self.open_on_loan(self.other, "turn-2", most=300)
         second.hand_out(170)
@@ -555,8 +555,8 @@
         await self.wait_until(
             lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150
         )
-        slow = UnreliableLender(self.lender)
-        slow.answer_delay = 2 * LOG_PATIENCE
+        lender_link = UnreliableLender(self.lender)
+        lender_link.answer_delay = 2 * LOG_PATIENCE
         self.assertFalse(await second._cover_soon(180))
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 300})
         self.assertEqual(second.covered, 175)
@@ -571,7 +571,7 @@
         The gateway reported less when it asked for more, but may have used all of the
         loan since.
         """
-        self.stop_store()
+        self.make_store_unavailable()
         first = await self.open_on_loan(self.other, "turn-1", most=200)
         delegate = TurnServer(local=self.other.turns, ledger=self.other.ledger)
         opening = OpenTurnRequest(
@@ -584,8 +584,8 @@
         await self.wait_until(
             lambda: self.lender.book.lend_left(PROGRAM, BUDGET, 0) > 150
         )
-        slow = UnreliableLender(self.lender)
-        slow.answer_delay = 2 * LOG_PATIENCE
+        lender_link = UnreliableLender(self.lender)
+        lender_link.answer_delay = 2 * LOG_PATIENCE
         asked = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
         await delegate.answer(asked, mock.AsyncMock())
         await self.wait_until(lambda: not self._has_open_loans())
@@ -593,7 +593,7 @@
 
     async def test_turn_ends_while_waiting_for_tokens(self) -> None:
         """End the wait for tokens with a refusal if the turn is closed."""
-        self.stop_store()
+        self.make_store_unavailable()
         await self.open_on_loan(self.other, "turn-1", most=200)
         turn = await self.open_on_loan(self.other, "turn-2", most=300)
         turn.hand_out(175)
@@ -605,9 +605,9 @@
 
     async def test_caller_leaves_during_borrow(self) -> None:
         """Return a loan if the caller leaves at any time before it is granted."""
-        self.stop_store()
-        slow = UnreliableLender(self.lender)
-        slow.answer_delay = ASK_TIMEOUT / 2
+        self.make_store_unavailable()
+        lender_link = UnreliableLender(self.lender)
+        lender_link.answer_delay = ASK_TIMEOUT / 2
         for number in range(6):
             opening = asyncio.create_task(
                 self.other.turns.open(start(f"turn-{number}", most=300))
@@ -627,7 +627,7 @@
 
     async def test_lost_borrower(self) -> None:
         """Count a lost borrower's whole loan as used until the program expires."""
-        self.stop_store()
+        self.make_store_unavailable()
         await self.open_on_loan(self.other, "turn-1", most=300)
         self.kill(str(self.other.name))
         self.other.server.close()
@@ -661,7 +661,7 @@
         await asyncio.sleep(0.3)
         clock.return_value = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
         await asyncio.sleep(0.3)
-        self.stop_store()
+        self.make_store_unavailable()
         refused = await other.turns.open(start("turn-1", most=100))
         self.assertIs(refused, BudgetVerdict.UNCERTAIN)
         for process in self.processes:
@@ -671,7 +671,7 @@
         await self.wait_until(
             lambda: len(other.claims.lenders_of(slot_of(PROGRAM))) == 1
         )
-        self.stop_store()
+        self.make_store_unavailable()
         turn = await self.open_on_loan(other, "turn-2", most=375)
         self.assertEqual(turn.covered, 375)
 
@@ -704,7 +704,7 @@
         A last part that is too small for a turn is not lent, as it would run out in
         the middle of the answer.
         """
-        handed = 0
+        used = 0
         for number in range(22):
             opened = await self.other.turns.open(start(f"turn-{number}"))
             if not isinstance(opened, LocalTurn):
@@ -715,8 +715,8 @@
             self.assertTrue(await opened.cover(MAX_TOKENS))
             opened.hand_out(MAX_TOKENS)
             opened.close()
-            handed += MAX_TOKENS
-        self.assertEqual(handed, 1900)
+            used += MAX_TOKENS
+        self.assertEqual(used, 1900)
 
 
 class CancelledOpenTests(unittest.IsolatedAsyncioTestCase):
--- a/sequoiaarch/tests/fleet/peers_tests.py
+++ b/sequoiaarch/tests/fleet/peers_tests.py
@@ -29,7 +29,7 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.denied = False
-        self.busy = False
+        self.throttled = False
         self.calls = 0
         self.reaches_store = True
 
@@ -38,7 +38,7 @@
         self.calls += 1
         if self.denied:
             return FAILED
-        if self.busy:
+        if self.throttled:
             return StoreReply(status=429, body=b"")
         return StoreReply(status=200, body=self.name.encode())
 
@@ -112,7 +112,7 @@
         """
         near = await self.add("near", LOCAL_CENTRE)
         await self.add("far", REMOTE_CENTRE)
-        near.busy = True
+        near.throttled = True
         for _ in range(3):
             self.assertEqual(await self.relay_call(), "far")
         self.assertEqual(near.calls, 1)
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -1,4 +1,4 @@
-"""Test that hosts take rate-limit tokens from its keepers, over real sockets."""
+"""Test that hosts take rate-limit tokens from share owners, over real sockets."""
 
 from __future__ import annotations
 
@@ -105,7 +105,7 @@
                 )
                 value = msgspec.json.encode(record)
                 host.peers.change(KeyedRecord(key=other.name, value=value))
-        self.serving = [asyncio.create_task(one.server.run()) for one in self.hosts]
+        self.serving = [asyncio.create_task(other.server.run()) for other in self.hosts]
 
     async def asyncTearDown(self) -> None:
         """Close everything."""
@@ -119,13 +119,13 @@
     def keepers(self) -> list[_Host]:
         """Return the host of each share."""
         names = self.hosts[0].keepers.of(WORKSPACE)
-        return [one for name in names for one in self.hosts if one.name == name]
+        return [other for name in names for other in self.hosts if other.name == name]
 
-    async def test_hosts_agree_on_keepers_of_all_data_centres(self) -> None:
-        """Choose the same three keepers on every host, one in each data centre."""
-        found = {host.keepers.of(WORKSPACE) for host in self.hosts}
-        self.assertEqual(len(found), 1)
-        self.assertEqual({one.data_centre for one in self.keepers()}, set(CENTRES))
+    async def test_hosts_agree_on_owners(self) -> None:
+        """Choose the same three owners on every host, one in each data centre."""
+        result = {host.keepers.of(WORKSPACE) for host in self.hosts}
+        self.assertEqual(len(result), 1)
+        self.assertEqual({other.data_centre for other in self.keepers()}, set(CENTRES))
 
     async def test_total_stays_within_limit(self) -> None:
         """Serve most of the limit and never more, through one host or all."""
@@ -139,48 +139,48 @@
             self.assertLessEqual(served, ALLOWED)
             self.assertGreaterEqual(served, ALLOWED // 2)
 
-    async def test_near_keeper_is_asked_first(self) -> None:
-        """Send no request to other data centres while the near keeper has tokens."""
+    async def test_near_owner_is_asked_first(self) -> None:
+        """Send no request to other data centres while the near owner has tokens."""
         host = self.hosts[0]
         self.assertIsInstance(await host.take(), float)
-        asked = [one for one in self.hosts if one.asked]
-        self.assertTrue(all(one.data_centre == host.data_centre for one in asked))
+        asked = [other for other in self.hosts if other.asked]
+        self.assertTrue(all(other.data_centre == host.data_centre for other in asked))
 
-    async def test_lost_keeper(self) -> None:
-        """Use the other shares if a keeper is lost."""
+    async def test_lost_owner(self) -> None:
+        """Use the other shares if an owner is lost."""
         lost = self.keepers()[0]
-        near = [one for one in self.hosts if one.data_centre == lost.data_centre]
-        host = next(one for one in near if one is not lost)
+        near = [other for other in self.hosts if other.data_centre == lost.data_centre]
+        host = next(other for other in near if other is not lost)
         lost.server.close()
         self.assertIsInstance(await host.take(), float)
 
-    async def test_no_keeper_answers(self) -> None:
-        """Refuse with an unknown limit if no keeper answers."""
+    async def test_no_owner_answers(self) -> None:
+        """Refuse with an unknown limit if no owner answers."""
         for host in self.hosts:
             host.server.close()
-        asking = next(one for one in self.hosts if one not in self.keepers())
-        found = await asking.take()
-        assert isinstance(found, Refusal)
-        self.assertFalse(found.kept)
-        self.assertGreater(found.wait, 0)
+        requester = next(other for other in self.hosts if other not in self.keepers())
+        result = await requester.take()
+        assert isinstance(result, Refusal)
+        self.assertFalse(result.kept)
+        self.assertGreater(result.wait, 0)
 
     async def test_refusal_is_cached(self) -> None:
-        """Cache a refusal instead of asking the keepers for each request."""
+        """Cache a refusal instead of asking the owners for each request."""
         host = self.hosts[0]
-        while not isinstance(found := await host.take(), Refusal):
+        while not isinstance(result := await host.take(), Refusal):
             host.now += 0.0001
-        self.assertGreater(found.wait, 0)
-        before = sum(one.asked for one in self.hosts)
+        self.assertGreater(result.wait, 0)
+        before = sum(other.asked for other in self.hosts)
         for _ in range(50):
             self.assertIsInstance(await host.take(), Refusal)
-        self.assertEqual(sum(one.asked for one in self.hosts), before)
+        self.assertEqual(sum(other.asked for other in self.hosts), before)
 
     async def test_retry_after_advertised_wait(self) -> None:
         """Serve a caller that retries after the advertised wait."""
         host = self.hosts[0]
         with mock.patch.object(limiter_module, "REFUSED_SPAN", 0.0):
-            while not isinstance(found := await host.take(), Refusal):
+            while not isinstance(result := await host.take(), Refusal):
                 pass
-            for one in self.hosts:
-                one.now += found.wait + 0.001
+            for other in self.hosts:
+                other.now += result.wait + 0.001
             self.assertIsInstance(await host.take(), float)
--- a/sequoiaarch/tests/fleet/scaling_tests.py
+++ b/sequoiaarch/tests/fleet/scaling_tests.py
@@ -71,11 +71,11 @@
 
     def count_scores(self) -> mock.Mock:
         """Return a mock that counts the scores computed from now on."""
-        counting = mock.Mock(wraps=ranking.score)
-        patched = mock.patch.object(ranking, "score", counting)
+        score_mock = mock.Mock(wraps=ranking.score)
+        patched = mock.patch.object(ranking, "score", score_mock)
         patched.start()
         self.addCleanup(patched.stop)
-        return counting
+        return score_mock
 
     async def test_first_claims_compute_few_scores(self) -> None:
         """Choose slots to claim without scoring all hosts for all slots.
@@ -84,12 +84,12 @@
         """
         for size in SIZES:
             host = _Host(size=size)
-            counting = self.count_scores()
+            score_mock = self.count_scores()
             claimed = host.claimer._slots_to_claim()
             with self.subTest(size=size):
-                looked = counting.call_count
+                computed = score_mock.call_count
                 own = len(claimed) * size
-                self.assertLessEqual(looked, own + 8 * SLOTS)
+                self.assertLessEqual(computed, own + 8 * SLOTS)
             mock.patch.stopall()
 
     async def test_claims_match_full_ranking(self) -> None:
@@ -112,10 +112,10 @@
             programs = [ProgramId(f"p{number}") for number in range(2000)]
             for program in programs:
                 delegates.delegate_of(program)
-            counting = self.count_scores()
+            score_mock = self.count_scores()
             found = {delegates.delegate_of(program) for program in programs}
             with self.subTest(size=size):
-                self.assertEqual(counting.call_count, 0)
+                self.assertEqual(score_mock.call_count, 0)
                 # A large data centre has few slots for each host.
                 self.assertGreaterEqual(len(found), 0.9 * size // DATA_CENTRES)
             host.peers.change(KeyedRecord(key="h5", value=b""))
