--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -82,8 +82,8 @@
         self._used = 0
         self._covered = opened.covered
         self._ended = False
-        # The delegate no longer holds the turn, or is being told so. The turn itself
-        # may continue in this process.
+        # Set once the end report to the delegate is on its way. The turn itself may
+        # continue in this process.
         self._end_reported = False
         self._fallback: LocalTurn | None = None
         self._announced: asyncio.Future[Offset] | None = None
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -75,15 +75,15 @@
     async def asyncSetUp(self) -> None:
         """Start the hosts, which know each other."""
         self.context = zmq.asyncio.Context()
-        places = {
+        data_centres = {
             "a": LOCAL_CENTRE,
             "b": LOCAL_CENTRE,
             "c": LOCAL_CENTRE,
             "far": REMOTE_CENTRE,
         }
         self.hosts = {
-            name: _Host(name=name, data_centre=place, context=self.context)
-            for name, place in places.items()
+            name: _Host(name=name, data_centre=data_centre, context=self.context)
+            for name, data_centre in data_centres.items()
         }
         for host in self.hosts.values():
             for other in self.hosts.values():
