--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -1,4 +1,4 @@
-"""Hold a turn whose account another process keeps."""
+"""A turn whose budget account is kept by another process."""
 
 from __future__ import annotations
 
@@ -28,39 +28,39 @@
     TurnRefused,
     TurnVerdict,
 )
-from .asking import ask
+from .delegate_calls import call_delegate
 
-# A stream bears a longer pause than its beginning, and what a delegate has granted
-# is lost with it. Seconds.
-COVER_FIRST_WORD = 0.4
+# Longer than for other requests: a running stream tolerates a pause, and giving up
+# on the delegate loses the tokens that it granted. Seconds.
+COVER_FIRST_REPLY_TIMEOUT = 0.4
 
 
-class Opener(Protocol):
-    """Open turns through delegates, and go on here where one is lost."""
+class TurnManager(Protocol):
+    """What a delegated turn needs from the process that opened it."""
 
     @property
     def ledger(self) -> Ledger:
         """Return the ledger of this process."""
 
-    async def take_over(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
-        """Reserve a turn here whose delegate was lost; its history is known."""
+    async def reserve_locally(self, start: TurnStart) -> LocalTurn | BudgetVerdict:
+        """Reserve tokens in this process for a turn whose delegate was lost."""
 
-    def lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
-        """Note that a delegate was lost with a turn open."""
+    def delegate_lost(self, host: HostName, turn: TurnId, reply: Reply) -> None:
+        """Record that a delegate failed while a turn was open."""
 
-    def tell_end(
-        self, link: Link, opening: OpeningId, lifetime: float, *, handed: int
+    def report_end(
+        self, link: Link, opening: OpeningId, lifetime: float, *, used: int
     ) -> None:
-        """Tell a delegate the end of a turn, without waiting for its reply."""
+        """Report the end of a turn to its delegate in the background."""
 
 
 class DelegatedTurn:
-    """Hold a turn whose account another process keeps.
+    """A turn whose budget account is kept by another process, its delegate.
 
-    If that one is lost, the turn goes on here: tokens are reserved once more
-    by this process, and the turn is written by it. The other one is told how much
-    went out under its grant, in case it was only late. If that never reaches it,
-    all that the turn was covered for there counts as handed out, which is safe.
+    If the delegate is lost, this process reserves the tokens again and writes the
+    turn itself. It reports to the delegate how many tokens went out under its grant,
+    in case the delegate was only slow. If that report is lost, the delegate counts
+    the whole grant as used, so the budget is never exceeded.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         opened: TurnOpened,
         host: HostName,
         link: Link,
-        turns: Opener,
+        turns: TurnManager,
     ) -> None:
         self._opening = opening
         self._start = start
@@ -79,41 +79,41 @@
         self._host = host
         self._link = link
         self._turns = turns
-        self._handed = 0
+        self._used = 0
         self._covered = opened.covered
         self._ended = False
-        # Whether the delegate knows that it holds the turn for nobody, or is being
-        # told; the turn itself may go on here.
-        self._told_end = False
-        self._own: LocalTurn | None = None
+        # Set once the end report to the delegate is on its way. The turn itself may
+        # continue in this process.
+        self._end_reported = False
+        self._fallback: LocalTurn | None = None
         self._announced: asyncio.Future[Offset] | None = None
 
     @property
     def history(self) -> History | None:
-        """Return what the turn continues; None at the start of a chain."""
+        """Return the history that the turn continues; None for a first turn."""
         return self._opened.history
 
     @property
     def spent(self) -> int:
-        """Return the tokens that the program had used before."""
+        """Return the tokens that the program had used before this turn."""
         return self._opened.spent
 
     @property
     def where(self) -> str:
-        """Return which process keeps the account, for the log."""
-        if self._own is not None:
-            return f"{self._own.where} after all"
+        """Return which process keeps the account, for logs."""
+        if self._fallback is not None:
+            return f"{self._fallback.where} after all"
         part = "" if self._covered is None else f", {self._covered} held"
         return f"at {self._host}{part}"
 
     async def verdict(self) -> BudgetVerdict:
-        """Wait until it is known whether the turn is granted."""
-        if self._own is not None:
-            return await self._own.verdict()
+        """Wait until the turn is granted or refused."""
+        if self._fallback is not None:
+            return await self._fallback.verdict()
         if self._opened.granted:
             return BudgetVerdict.FITS
         request = ConfirmTurnRequest(opening=self._opening)
-        reply = await ask(self._link, request)
+        reply = await call_delegate(self._link, request)
         if (
             isinstance(reply, TurnVerdict)
             and reply.verdict is not BudgetVerdict.UNCERTAIN
@@ -121,132 +121,132 @@
             self._covered = reply.covered
             return reply.verdict
         if not isinstance(reply, TurnVerdict):
-            self._turns.lost(self._host, self._start.terms.turn, reply)
-        self._tell_end()
-        taken = await self._turns.take_over(self._start)
-        if isinstance(taken, BudgetVerdict):
-            return taken
-        self._own = taken
-        return await taken.verdict()
+            self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
+        self._report_end()
+        fallback = await self._turns.reserve_locally(self._start)
+        if isinstance(fallback, BudgetVerdict):
+            return fallback
+        self._fallback = fallback
+        return await fallback.verdict()
 
     def write_index(self) -> None:
-        """Write the program of the turn beside its run."""
+        """Start writing the turn's program to the index."""
         self._announced = self._turns.ledger.write_index(self._start.terms)
 
     def covers(self, tokens: int) -> bool:
-        """Return whether so many more tokens may go to the caller unasked."""
-        if self._own is not None:
-            return self._own.covers(tokens)
-        return self._covered is None or self._handed + tokens <= self._covered
+        """Return whether the grant covers this many more tokens."""
+        if self._fallback is not None:
+            return self._fallback.covers(tokens)
+        return self._covered is None or self._used + tokens <= self._covered
 
     async def cover(self, tokens: int) -> bool:
-        """Ask for so many more tokens; return whether they may go to the caller."""
-        if self._own is not None:
-            return await self._own.cover(tokens)
+        """Extend the grant if needed; return whether it covers the tokens."""
+        if self._fallback is not None:
+            return await self._fallback.cover(tokens)
         if self.covers(tokens):
             return True
-        covered = await self._cover_there(tokens)
+        covered = await self._cover_at_delegate(tokens)
         if covered is not None:
             return covered
-        taken = await self._go_on_here()
-        return taken is not None and await taken.cover(tokens)
+        fallback = await self._fall_back()
+        return fallback is not None and await fallback.cover(tokens)
 
-    async def _cover_there(self, tokens: int) -> bool | None:
-        """Ask the delegate for more; None where it is lost."""
+    async def _cover_at_delegate(self, tokens: int) -> bool | None:
+        """Ask the delegate to extend its grant; None if the delegate is lost."""
         request = CoverTurnRequest(
             opening=self._opening,
-            total=self._handed + tokens,
-            handed=self._handed,
+            total=self._used + tokens,
+            handed=self._used,
+        )
+        reply = await call_delegate(
+            self._link, request, first_reply_timeout=COVER_FIRST_REPLY_TIMEOUT
         )
-        reply = await ask(self._link, request, first_word=COVER_FIRST_WORD)
         if isinstance(reply, TurnCovered):
             self._covered = reply.covered
             return True
-        # The turn's end can overtake this request, which then finds it not open there:
-        # a delegate that is well would be passed over, and a rest reserved for nobody.
+        # The end of the turn can overtake this request. The failure then says nothing
+        # about the delegate's health, and nothing is left to reserve.
         if self._ended or isinstance(reply, TurnRefused):
             return False
-        self._turns.lost(self._host, self._start.terms.turn, reply)
+        self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
         return None
 
-    async def _go_on_here(self) -> LocalTurn | None:
-        """Reserve the rest of the turn here, as its delegate was lost midway.
+    async def _fall_back(self) -> LocalTurn | None:
+        """Reserve the rest of the turn in this process, as its delegate is lost.
 
-        A delegate that only was slow hears what was handed out under its grant.
-        What it still claims for this turn may leave no room until it has
-        returned that or is known to be lost; the stream waits for it. Else it
-        would be cut at once where little is left of the budget.
+        The grant of the old delegate may leave no room in a small budget until it is
+        returned or written off. The stream waits for that instead of being cut.
         """
-        self._tell_end()
+        self._report_end()
         terms = self._start.terms
-        rest = terms.remainder(max(1, terms.most - self._handed))
-        start = msgspec.structs.replace(self._start, terms=rest)
+        remaining = terms.remainder(max(1, terms.most - self._used))
+        start = msgspec.structs.replace(self._start, terms=remaining)
         deadline = asyncio.get_running_loop().time() + COVER_TIMEOUT
         while not self._ended and asyncio.get_running_loop().time() < deadline:
-            taken = await self._turns.take_over(start)
-            if isinstance(taken, LocalTurn) and await self._accept(taken):
-                self._own = taken
-                return taken
+            fallback = await self._turns.reserve_locally(start)
+            if isinstance(fallback, LocalTurn) and await self._accept(fallback):
+                self._fallback = fallback
+                return fallback
             await asyncio.sleep(COVER_RETRY_INTERVAL)
         return None
 
-    async def _accept(self, taken: LocalTurn) -> bool:
-        """Return whether the turn can go on with what was taken, or give it back."""
+    async def _accept(self, fallback: LocalTurn) -> bool:
+        """Return whether the turn can use a reservation; close it otherwise."""
         accepted = False
         try:
-            fits = await taken.verdict() is BudgetVerdict.FITS
+            fits = await fallback.verdict() is BudgetVerdict.FITS
             accepted = fits and not self._ended
         finally:
-            # The end of the turn closes only what is in use. Left open by a caller that
-            # leaves, this would be missing from the budget for good.
+            # The end of the turn closes only the reservation in use. An unused one that
+            # stays open when the caller leaves would block its part of the budget.
             if not accepted:
-                taken.close()
+                fallback.close()
         return accepted
 
     def record_usage(self, tokens: int) -> None:
-        """Count tokens that go to the caller."""
-        if self._own is not None:
-            self._own.record_usage(tokens)
+        """Count tokens sent to the caller."""
+        if self._fallback is not None:
+            self._fallback.record_usage(tokens)
         else:
-            self._handed += tokens
+            self._used += tokens
 
     async def commit(self, given: bytes, produced: bytes) -> None:
-        """Make the turn part of the history; return once that is durable."""
+        """Append the turn to the history; return when that is durable."""
         self._ended = True
         content = turn_content(self._start, self.history, given, produced)
-        if self._own is not None:
-            await self._own.commit_content(content)
+        if self._fallback is not None:
+            await self._fallback.commit_content(content)
         else:
-            await self._commit_there(content)
+            await self._commit_at_delegate(content)
         if self._announced is not None:
             await self._announced
 
     def close(self) -> None:
-        """Return what the turn did not use; a second time does nothing."""
+        """Return unused tokens; idempotent."""
         self._ended = True
-        if self._own is not None:
-            self._own.close()
-        self._tell_end()
+        if self._fallback is not None:
+            self._fallback.close()
+        self._report_end()
 
-    def _tell_end(self) -> None:
-        """Tell the delegate what was handed out under its grant, once."""
-        if self._told_end:
+    def _report_end(self) -> None:
+        """Report to the delegate what was used of its grant, once."""
+        if self._end_reported:
             return
-        self._told_end = True
-        self._turns.tell_end(
-            self._link, self._opening, self._start.lifetime, handed=self._handed
+        self._end_reported = True
+        self._turns.report_end(
+            self._link, self._opening, self._start.lifetime, used=self._used
         )
 
-    async def _commit_there(self, content: TurnContent) -> None:
+    async def _commit_at_delegate(self, content: TurnContent) -> None:
         terms = self._start.terms
         request = CommitTurnRequest(
-            opening=self._opening, terms=terms, handed=self._handed, content=content
+            opening=self._opening, terms=terms, handed=self._used, content=content
         )
-        reply = await ask(self._link, request)
+        reply = await call_delegate(self._link, request)
         if isinstance(reply, Accepted):
-            self._told_end = True
+            self._end_reported = True
             return
-        self._tell_end()
-        # It may have been written there too: the same record under the same key.
-        self._turns.lost(self._host, self._start.terms.turn, reply)
+        self._report_end()
+        # The delegate may have written it too; the record and its key are the same.
+        self._turns.delegate_lost(self._host, self._start.terms.turn, reply)
         await self._turns.ledger.write(terms, content)
--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -1,4 +1,4 @@
-"""Put together what one gateway does with the others and for them."""
+"""Assemble what one gateway shares with the other gateways."""
 
 from __future__ import annotations
 
@@ -32,28 +32,28 @@
 from ..workspaces.shares import Keepers
 from ..workspaces.spans import QuotaBounds
 from ..workspaces.tenure import Tenure
-from .claiming import Claiming
 from .claims import TOPIC as CLAIMS_TOPIC, Claims
-from .delegates import DelegatedTurns, Delegates
-from .joining import Joining
-from .lenders import Lenders
+from .delegates import DelegatedTurns, DelegateSelector
+from .loan_service import LoanService
+from .peer_health import PeerHealth
 from .peers import TOPIC as PEERS_TOPIC, Peers
 from .quotas import FleetQuotas
-from .standing import Standing
+from .registration_check import RegistrationCheck
+from .slot_claimer import SlotClaimer
 from .target_reports import TargetReports
 from .turn_server import TurnServer
 
-# Claims change when processes start and stop. A connection that has fallen silent
-# hides a change for this long, which costs a request to a lender that has left.
-# Seconds.
-CLAIMS_WAIT = 10.0
+# Long-poll time for claims, which change only when processes start and stop. A dead
+# connection hides a change for as long. Seconds.
+CLAIMS_READ_WAIT = 10.0
 
 
-class Limits(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what workspaces are held to.
+class QuotaOptions(msgspec.Struct, frozen=True, kw_only=True):
+    """Rate limits of workspaces and how they are enforced.
 
-    A process keeps shares of limits by a view of the fleet that is at most `lease`
-    seconds old, and reads registrations for up to `wait` seconds at a time.
+    A process serves its shares of limits only while its view of the registrations is at
+    most `lease` seconds old. It polls registrations for up to `wait` seconds at a
+    time.
     """
 
     of: Callable[[Workspace], RateLimit | None]
@@ -63,7 +63,7 @@
 
 
 class Fleet:
-    """Hold one gateway's part in the fleet: registration, accounts, loans, limits."""
+    """One gateway's registration, budget accounts, loans and rate limits."""
 
     def __init__(
         self,
@@ -75,37 +75,37 @@
         ledger: Ledger,
         split: BudgetSplit,
         health: TargetHealth,
-        limits: Limits,
+        limits: QuotaOptions,
     ) -> None:
         self._own = own
         self._writer = writer
         self._peers = peers
         self._log = keyed_log
         claims = Claims()
-        standing = Standing()
+        peer_health = PeerHealth()
         self.loans = LoanBook(split=split, carried=claims.carried)
-        self._claiming = Claiming(
+        self._claimer = SlotClaimer(
             writer=writer,
             own=own,
             peers=peers,
             book=self.loans,
             claims=claims,
-            standing=standing,
-            seen_from=self._seen_from,
+            peer_health=peer_health,
+            view_as_of=self._view_as_of,
         )
-        self._lenders = Lenders(
+        self._loan_service = LoanService(
             writer=writer,
             own=own,
             peers=peers,
             book=self.loans,
             claims=claims,
-            claiming=self._claiming,
-            standing=standing,
+            claimer=self._claimer,
+            peer_health=peer_health,
         )
-        local = LocalTurns(ledger=ledger, lender=self._lenders)
+        local = LocalTurns(ledger=ledger, lender=self._loan_service)
         self._server = TurnServer(local=local, ledger=ledger)
         self.turns = DelegatedTurns(
-            delegates=Delegates(own=own, peers=peers, standing=standing),
+            delegates=DelegateSelector(own=own, peers=peers, peer_health=peer_health),
             local=local,
             ledger=ledger,
         )
@@ -119,16 +119,18 @@
             wait=limits.wait,
             viewed=self.tenure.viewed,
         )
-        self._joining = Joining(own=own, writer=writer, peers=peers, tenure=self.tenure)
-        peers.own_changed = self._own_changed
-        self._hosts_seen = peers.hosts_version
+        self._registration_check = RegistrationCheck(
+            own=own, writer=writer, peers=peers, tenure=self.tenure
+        )
+        peers.on_own_registration = self._on_own_registration
+        self._hosts_version_seen = peers.hosts_version
         self._keepers = Keepers(
-            hosts=peers.by_centre, version=lambda: peers.hosts_version
+            hosts=peers.hosts_by_centre, version=lambda: peers.hosts_version
         )
         self.limiter = Limiter(
             bounds=limits.bounds,
             limits=limits.of,
-            keeps=self._keeps,
+            keeps=self._owns_share,
             term=lambda: self.tenure.term,
             since=lambda: self.tenure.since,
             clock=boot_time,
@@ -137,7 +139,7 @@
         self.quotas = FleetQuotas(
             own=own,
             peers=peers,
-            standing=standing,
+            peer_health=peer_health,
             keepers=self._keepers,
             limiter=self.limiter,
             purse=Purse(clock=boot_time),
@@ -149,7 +151,7 @@
                 topic=CLAIMS_TOPIC,
                 replace=claims.replace,
                 change=claims.change,
-                wait=CLAIMS_WAIT,
+                wait=CLAIMS_READ_WAIT,
             ),
         ]
 
@@ -158,40 +160,45 @@
         """Return how many turns of other gateways are open here."""
         return self._server.open_turns
 
-    def parts(self, retention: Callable[[], float]) -> list[Coroutine[Any, Any, None]]:
-        """Return what runs for ever; `retention` is the longest one of turns."""
+    def background_tasks(
+        self, retention: Callable[[], float]
+    ) -> list[Coroutine[Any, Any, None]]:
+        """Return the coroutines that run for ever.
+
+        `retention` returns the longest retention of any turn, in seconds.
+        """
         return [
-            *(one.follow() for one in self._followers),
+            *(follower.follow() for follower in self._followers),
             self._peers.register(self._log, self._writer),
-            self._claiming.run(self._log, retention),
-            self._joining.run(),
+            self._claimer.run(self._log, retention),
+            self._registration_check.run(),
         ]
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Answer another gateway."""
+        """Handle a request of another gateway."""
         if isinstance(request, LendRequest | SettleRequest):
-            return self._lenders.answer(request)
+            return self._loan_service.answer(request)
         if isinstance(request, TargetReport):
-            return self.reports.take(request)
+            return self.reports.receive(request)
         if isinstance(request, TakeTokensRequest):
             return self.quotas.answer(request)
         if isinstance(request, RegistrationSeenRequest):
-            return self._joining.answer(request)
+            return self._registration_check.answer(request)
         return await self._server.answer(request, send)
 
     def refuse_new(self) -> None:
-        """Open no more turns for others, as this process is to stop."""
+        """Refuse to open turns for other gateways, ahead of a shutdown."""
         self._server.stopping = True
 
     async def leave(self) -> None:
-        """Take back claims and registration."""
-        await self._claiming.stop(self._log)
+        """Remove the claims and the registration of this process."""
+        await self._claimer.stop(self._log)
         self.tenure.cease()
         await self._peers.unregister(self._log, self._writer)
 
-    def _seen_from(self) -> float:
-        """Return since when claims and registrations are known, in boot time."""
-        return min(one.seen_from for one in self._followers)
+    def _view_as_of(self) -> float:
+        """Return the boot time as of which claims and registrations are known."""
+        return min(follower.seen_from for follower in self._followers)
 
     def _replace_peers(self, records: Sequence[KeyedRecord]) -> None:
         self._peers.replace(records)
@@ -202,20 +209,20 @@
         self._hosts_changed()
 
     def _hosts_changed(self) -> None:
-        if self._hosts_seen == self._peers.hosts_version:
+        if self._hosts_version_seen == self._peers.hosts_version:
             return
-        self._hosts_seen = self._peers.hosts_version
+        self._hosts_version_seen = self._peers.hosts_version
         self.tenure.hosts_changed()
         self.limiter.drop_lost()
 
-    def _own_changed(self, writer: WriterId | None, ordered: bool) -> None:
+    def _on_own_registration(self, writer: WriterId | None, ordered: bool) -> None:
         if writer is None:
             self.tenure.unregistered()
         else:
             self.tenure.registered(own=writer == self._writer, ordered=ordered)
 
-    def _keeps(self, workspace: Workspace, share: int) -> bool:
-        """Return whether a share of a workspace's limit is kept here."""
+    def _owns_share(self, workspace: Workspace, share: int) -> bool:
+        """Return whether this process owns a share of a workspace's limit."""
         keepers = self._keepers.of(workspace)
         ranked = share < len(keepers) and keepers[share] == self._own
         return ranked and self.tenure.acts
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -1,4 +1,4 @@
-"""Ask the keepers of a workspace's limit for tokens, and keep shares for others."""
+"""Take rate-limit tokens from the hosts that own shares of a limit."""
 
 from __future__ import annotations
 
@@ -9,36 +9,35 @@
 from ..workspaces.limiter import NOT_KEPT, Limiter, Tokens
 from ..workspaces.quotas import Refusal, shortest
 from ..workspaces.shares import Keepers
+from .peer_health import PeerHealth
 from .peers import Peers
-from .standing import Standing
 
-# A keeper answers from memory. One that does not within this time is dead, frozen
-# or overloaded. Seconds.
+# Share owners answer from memory. Seconds.
 ASK_TIMEOUT = 0.1
 
 
 class FleetQuotas:
-    """Take tokens from the keepers of shares, the nearest one first."""
+    """Takes rate-limit tokens from the owners of shares, the nearest first."""
 
     def __init__(
         self,
         *,
         own: HostName,
         peers: Peers,
-        standing: Standing,
+        peer_health: PeerHealth,
         keepers: Keepers,
         limiter: Limiter,
         purse: Purse,
     ) -> None:
         self._own = own
         self._peers = peers
-        self._standing = standing
+        self._peer_health = peer_health
         self._keepers = keepers
         self._limiter = limiter
         self._purse = purse
 
     async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
-        """Return until when the token counts on the clock, or why there is none."""
+        """Return the time until which the taken token is valid, or the refusal."""
         workspace = caller.workspace
         assert workspace is not None
         held = self._purse.take(workspace)
@@ -48,19 +47,19 @@
         if wait is not None:
             return Refusal(wait=wait)
         answers = []
-        for share, host in self._order(workspace):
+        for share, host in self._shares_nearest_first(workspace):
             asked = self._purse.now()
-            found = await self._ask(host, workspace, share, begins)
-            if found.count:
-                return self._purse.put(workspace, found.count - 1, asked=asked)
-            answers.append(found)
+            tokens = await self._take_from(host, workspace, share, begins)
+            if tokens.count:
+                return self._purse.put(workspace, tokens.count - 1, asked=asked)
+            answers.append(tokens)
         refusal = shortest(answers)
         if refusal.kept:
             self._purse.refuse(workspace, refusal.wait, begins=begins)
         return refusal
 
     def give_back(self, caller: Caller, until: float) -> None:
-        """Hold the token for another request of this process."""
+        """Keep an unused token for another request of this process."""
         if caller.workspace is not None:
             self._purse.give_back(caller.workspace, until)
 
@@ -69,34 +68,34 @@
         return self._purse.now()
 
     def answer(self, request: TakeTokensRequest) -> Reply:
-        """Answer another gateway."""
-        found = self._limiter.take(
+        """Handle a request of another gateway for tokens."""
+        tokens = self._limiter.take(
             request.workspace, request.share, request.count, begins=request.begins
         )
-        return TokensTaken(tokens=found)
+        return TokensTaken(tokens=tokens)
 
-    def _order(self, workspace: Workspace) -> list[tuple[int, HostName]]:
-        """Return the shares with their keepers, the nearest first."""
-        near = {self._own, *self._peers.near()}
+    def _shares_nearest_first(self, workspace: Workspace) -> list[tuple[int, HostName]]:
+        """Return the shares with their owners, nearest first."""
+        near = {self._own, *self._peers.neighbours()}
         shares = list(enumerate(self._keepers.of(workspace)))
         shares.sort(key=lambda entry: (entry[1] != self._own, entry[1] not in near))
         return shares
 
-    async def _ask(
+    async def _take_from(
         self, host: HostName, workspace: Workspace, share: int, begins: bool
     ) -> Tokens:
         count = self._purse.wanted(workspace)
         if host == self._own:
             return self._limiter.take(workspace, share, count, begins=begins)
         link = self._peers.link(host)
-        if link is None or not self._standing.usable(host):
+        if link is None or not self._peer_health.usable(host):
             return NOT_KEPT
         request = TakeTokensRequest(
             workspace=workspace, share=share, count=count, begins=begins
         )
         reply = await link.call(request, timeout=ASK_TIMEOUT)
         if not isinstance(reply, TokensTaken):
-            self._standing.failed(host, str(reply))
+            self._peer_health.request_failed(host, str(reply))
             return NOT_KEPT
-        self._standing.served(host)
+        self._peer_health.request_succeeded(host)
         return reply.tokens
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -12,9 +12,9 @@
 
 import logbook
 
-from ..fleet.fleet import Fleet, Limits
+from ..fleet.fleet import Fleet, QuotaOptions
 from ..fleet.peers import Peers
-from ..fleet.turn_server import failed
+from ..fleet.turn_server import failure_reply
 from ..http1.messages import RequestMessage
 from ..http1.server import Server
 from ..http1.server_connection import ResponseWriter, ServerLimits
@@ -137,7 +137,7 @@
                 ledger=self.ledger,
                 split=split,
                 health=health,
-                limits=Limits(
+                limits=QuotaOptions(
                     of=access.limit_of,
                     bounds=bounds,
                     lease=options.key_age_limit or DEFAULT_LEASE,
@@ -146,7 +146,7 @@
             )
             quotas = self._fleet.quotas
             turns = self._fleet.turns
-            self.dispatcher.load.report = self._fleet.reports.tell
+            self.dispatcher.load.report = self._fleet.reports.broadcast
         handler = RequestHandler(
             dispatcher=self.dispatcher,
             ledger=self.ledger,
@@ -190,7 +190,7 @@
         if events is not None:
             self._background.append(events.run())
         if self._fleet is not None:
-            self._background += self._fleet.parts(self._longest_retention)
+            self._background += self._fleet.background_tasks(self._longest_retention)
         self._stopping = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
@@ -293,12 +293,12 @@
     async def answer_peer(self, request: Request, send: Send) -> PeerReply:
         """Answer a request from another daemon."""
         if self._fleet is None:
-            return failed("this process has no peers")
+            return failure_reply("this process has no peers")
         return await self._fleet.answer(request, send)
 
     def _host_rank(self, name: str) -> int:
         """Return this host's rank in its data centre for a name, 0 first."""
-        return self._fleet.reports.place(name) if self._fleet is not None else 0
+        return self._fleet.reports.rank(name) if self._fleet is not None else 0
 
     def _longest_retention(self) -> float:
         routes = self.dispatcher.routes
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from unittest import mock
 
-from ...fleet.claims import LENDING_LEASE, RETIRE_MARGIN, Claims, Retirement
+from ...fleet.claims import EXPIRY_MARGIN, LENDING_LEASE, ClaimExpiry, Claims
 from ...ids import LoanId, Offset, ProgramId, TurnId
 from ...ledger import loans as loans_module
 from ...ledger.loans import FORGET_AFTER, SETTLED_RETENTION, LoanBook
@@ -188,7 +188,7 @@
 
     def ranks(self, claims: Claims, slot: int) -> dict[str, int]:
         """Return the ranks of all processes that claimed a slot."""
-        return {one.writer: one.place for one in claims.of(slot)}
+        return {one.writer: one.rank for one in claims.lenders_of(slot)}
 
     def test_ranks_follow_the_order_of_the_log(self) -> None:
         """Derive the same ranks from claims in any order of arrival."""
@@ -215,28 +215,28 @@
         earlier, another process would take its rank and lend the same tokens.
         """
         clock = Clock()
-        retirement = Retirement(clock=clock)
+        expiry = ClaimExpiry(clock=clock)
         claims = Claims()
         claims.change(self.record("a", 0))
         not_live = lambda writer: False  # noqa: E731
-        self.assertEqual(retirement.due(claims.writers(), not_live, RETENTION), [])
-        clock.now = LENDING_LEASE + RETENTION + RETIRE_MARGIN
-        self.assertEqual(retirement.due(claims.writers(), not_live, RETENTION), [])
+        self.assertEqual(expiry.expired(claims.writers(), not_live, RETENTION), [])
+        clock.now = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
+        self.assertEqual(expiry.expired(claims.writers(), not_live, RETENTION), [])
         clock.now += 1
-        self.assertEqual(retirement.due(claims.writers(), not_live, RETENTION), ["a/0"])
+        self.assertEqual(expiry.expired(claims.writers(), not_live, RETENTION), ["a/0"])
 
     def test_claim_of_a_returned_process_is_kept(self) -> None:
         """Restart the expiry when a registration is seen again."""
         clock = Clock()
-        retirement = Retirement(clock=clock)
+        expiry = ClaimExpiry(clock=clock)
         claims = Claims()
         claims.change(self.record("a", 0))
-        retirement.due(claims.writers(), lambda writer: False, RETENTION)
+        expiry.expired(claims.writers(), lambda writer: False, RETENTION)
         clock.now = 150.0
-        retirement.due(claims.writers(), lambda writer: True, RETENTION)
+        expiry.expired(claims.writers(), lambda writer: True, RETENTION)
         clock.now = 200.0
-        due = retirement.due(claims.writers(), lambda writer: False, RETENTION)
-        self.assertEqual(due, [])
+        expired = expiry.expired(claims.writers(), lambda writer: False, RETENTION)
+        self.assertEqual(expired, [])
 
 
 BUDGET = 16
--- a/sequoiaarch/tests/platform/outage_tests.py
+++ b/sequoiaarch/tests/platform/outage_tests.py
@@ -8,7 +8,7 @@
 
 import zmq.asyncio
 
-from ...fleet import claiming
+from ...fleet import slot_claimer
 from ...fleet.peers import Peers
 from ...ids import DataCentre, HostName
 from ...ingress.daemon import IngressDaemon
@@ -31,8 +31,8 @@
     async def asyncSetUp(self) -> None:
         """Start the gateway and wait for its claim."""
         await super().asyncSetUp()
-        for name in ("FIRST_CLAIM", "CLAIM_INTERVAL"):
-            patch = mock.patch.object(claiming, name, 0.05)
+        for name in ("FIRST_CLAIM_DELAY", "CLAIM_INTERVAL"):
+            patch = mock.patch.object(slot_claimer, name, 0.05)
             patch.start()
             self.addCleanup(patch.stop)
         self.context = zmq.asyncio.Context()
@@ -57,7 +57,7 @@
         fleet = daemon._fleet
         assert fleet is not None
         async with asyncio.timeout(10.0):
-            while not fleet._lenders._claims.of(0):
+            while not fleet._loan_service._claims.lenders_of(0):
                 await asyncio.sleep(0.01)
         return daemon
 
