--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -30,7 +30,7 @@
 from ..workspaces.directory import RateLimit
 from ..workspaces.limiter import Limiter
 from ..workspaces.shares import Keepers
-from ..workspaces.spans import QuotaBounds
+from ..workspaces.sliding_window import QuotaBounds
 from ..workspaces.tenure import Tenure
 from .claiming import Claiming
 from .claims import TOPIC as CLAIMS_TOPIC, Claims
--- a/sequoiaarch/gateway/requests.py
+++ b/sequoiaarch/gateway/requests.py
@@ -16,7 +16,7 @@
 from ..workspaces.access import Access, Caller
 from ..workspaces.directory import ANONYMOUS, Directory, RateLimit, WorkspaceEntry
 from ..workspaces.quotas import Refusal, local_quotas, quota_failure
-from ..workspaces.spans import QuotaBounds
+from ..workspaces.sliding_window import QuotaBounds
 
 PROGRAM_ID = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$")
 KEY = re.compile(r"^[\x21-\x7e]{1,255}$")
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -38,7 +38,7 @@
 from ..wire.messages import Reply as PeerReply, Request
 from ..workspaces.access import Access
 from ..workspaces.quotas import Quotas, local_quotas
-from ..workspaces.spans import QuotaBounds
+from ..workspaces.sliding_window import QuotaBounds
 from .calls import CallCodec
 from .configuration import Configuration, read_wait
 from .dispatcher import Dispatcher
--- a/sequoiaarch/ingress/options.py
+++ b/sequoiaarch/ingress/options.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..ids import DataCentre, HostName
-from ..workspaces.spans import QuotaBounds
+from ..workspaces.sliding_window import QuotaBounds
 
 Address = tuple[str, int]
 
--- a/sequoiaarch/platform/settings.py
+++ b/sequoiaarch/platform/settings.py
@@ -9,7 +9,7 @@
 
 from ..ids import DataCentre, HostName
 from ..ingress.options import IngressOptions, StoreOptions
-from ..workspaces.spans import QuotaBounds
+from ..workspaces.sliding_window import QuotaBounds
 from .fields import Fields, split_address
 
 SETTINGS_VARIABLE = "SEQUOIAARCH_SETTINGS"
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -24,7 +24,7 @@
 from ...workspaces.limiter import Limiter
 from ...workspaces.quotas import Refusal
 from ...workspaces.shares import Keepers
-from ...workspaces.spans import QuotaBounds
+from ...workspaces.sliding_window import QuotaBounds
 from .delegates_tests import NoStore
 
 WORKSPACE = Workspace("w")
--- a/sequoiaarch/tests/platform/quotas_tests.py
+++ b/sequoiaarch/tests/platform/quotas_tests.py
@@ -6,7 +6,7 @@
 import time
 
 from ...standins.target import TargetExchange
-from ...workspaces.spans import QuotaBounds
+from ...workspaces.sliding_window import QuotaBounds
 from .site import (
     ENGINES,
     ROUTES,
--- a/sequoiaarch/tests/platform/soak/keyed.py
+++ b/sequoiaarch/tests/platform/soak/keyed.py
@@ -9,7 +9,7 @@
 from ....http1.client import connect
 from ....http1.messages import LinkError
 from ....workspaces.directory import RateLimit
-from ....workspaces.spans import QuotaBounds
+from ....workspaces.sliding_window import QuotaBounds
 from ..site import tenant
 from .callers import CONNECT_SECONDS, TRY_PAUSE, exchange
 from .gateways import Gateway
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -25,7 +25,7 @@
 from ....routing.routes import RouteTable
 from ....routing.targets import Targets
 from ....workspaces.access import Access, Caller
-from ....workspaces.spans import ShareCount
+from ....workspaces.sliding_window import ShareCount
 
 VARIABLE = "SOAK_PLANTED"
 
--- a/sequoiaarch/tests/platform/soak/tally.py
+++ b/sequoiaarch/tests/platform/soak/tally.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from ....workspaces.directory import RateLimit
-from ....workspaces.spans import QuotaBounds
+from ....workspaces.sliding_window import QuotaBounds
 
 
 class Promise(Enum):
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/windows.py
@@ -12,7 +12,7 @@
 from ...workspaces.directory import RateLimit
 from ...workspaces.limiter import Limiter, Tokens
 from ...workspaces.shares import Keepers
-from ...workspaces.spans import SHARES, QuotaBounds
+from ...workspaces.sliding_window import SHARES, QuotaBounds
 from ...workspaces.tenure import Tenure
 
 WORKSPACE = Workspace("w")
--- a/sequoiaarch/workspaces/credits.py
+++ b/sequoiaarch/workspaces/credits.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..ids import Workspace
-from .spans import TOKEN_LIFE
+from .sliding_window import TOKEN_LIFE
 
 # Over how long the requests of a workspace are averaged here. Seconds.
 RATE_SPAN = 1.0
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -11,7 +11,7 @@
 
 from ..ids import Workspace
 from .directory import RateLimit
-from .spans import SHARES, QuotaBounds, ShareCount, share_terms
+from .sliding_window import SHARES, QuotaBounds, ShareCount, share_terms
 
 # Over how long callers that were refused are counted, among whom what the rate
 # brings is spread. Seconds.
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -15,7 +15,7 @@
 from .credits import Purse
 from .directory import RateLimit
 from .limiter import Limiter, Tokens
-from .spans import SHARES, QuotaBounds
+from .sliding_window import SHARES, QuotaBounds
 
 # Seconds after which a keeper that was lost is likely followed by another one.
 UNKNOWN_RETRY = 0.3
--- a/sequoiaarch/workspaces/shares.py
+++ b/sequoiaarch/workspaces/shares.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from ..ids import DataCentre, HostName, Workspace
-from .spans import SHARES
+from .sliding_window import SHARES
 
 Hosts = Mapping[DataCentre, Sequence[HostName]]
 
