--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -25,7 +25,7 @@
 from ....routing.routes import RouteTable
 from ....routing.targets import Targets
 from ....workspaces.access import Access, Caller
-from ....workspaces.sliding_window import ShareCount
+from ....workspaces.sliding_window import ShareWindow
 
 VARIABLE = "SOAK_PLANTED"
 
@@ -151,10 +151,10 @@
 def hands_out_everything() -> None:
     """Hand out every token that is asked for."""
 
-    def take(self: ShareCount, count: int, *_: Any, **__: Any) -> int:
+    def take(self: ShareWindow, count: int, *_: Any, **__: Any) -> int:
         return count
 
-    setattr(ShareCount, "take", take)  # noqa: B010
+    setattr(ShareWindow, "take", take)  # noqa: B010
 
 
 PLANTS: dict[str, Callable[[], None]] = {
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -11,7 +11,7 @@
 
 from ..ids import Workspace
 from .directory import RateLimit
-from .sliding_window import SHARES, QuotaBounds, ShareCount, share_terms
+from .sliding_window import SHARES, QuotaBounds, ShareWindow, share_terms
 
 # Over how long callers that were refused are counted, among whom what the rate
 # brings is spread. Seconds.
@@ -34,7 +34,7 @@
 
 @dataclass(kw_only=True, eq=False)
 class _Share:
-    count: ShareCount
+    count: ShareWindow
     term: int
     refused: deque[float] = field(default_factory=deque)
 
@@ -102,7 +102,7 @@
         term = self._term()
         found = self._shares.get((workspace, share))
         if found is None or found.term != term:
-            count = ShareCount(terms=terms, since=self._since())
+            count = ShareWindow(terms=terms, since=self._since())
             found = _Share(count=count, term=term)
             self._shares[workspace, share] = found
         found.count.change(terms)
--- a/sequoiaarch/workspaces/sliding_window.py
+++ b/sequoiaarch/workspaces/sliding_window.py
@@ -73,7 +73,7 @@
     count: float
 
 
-class ShareCount:
+class ShareWindow:
     """Count what a share hands out, in every time that ends now.
 
     A token bucket would refuse a workspace that is idle for most of the time and
