--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -26,12 +26,12 @@
     TakeTokens,
     TargetReport,
 )
-from ..workspaces.credits import Purse
 from ..workspaces.directory import RateLimit
 from ..workspaces.limiter import Limiter
 from ..workspaces.shares import Keepers
 from ..workspaces.sliding_window import QuotaBounds
 from ..workspaces.tenure import Tenure
+from ..workspaces.token_cache import Purse
 from .claiming import Claiming
 from .claims import TOPIC as CLAIMS_TOPIC, Claims
 from .delegates import DelegatedTurns, Delegates
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -5,10 +5,10 @@
 from ..ids import HostName, Workspace
 from ..wire.messages import Reply, TakeTokens, TokensTaken
 from ..workspaces.access import Caller
-from ..workspaces.credits import Purse
 from ..workspaces.limiter import NOT_KEPT, Limiter, Tokens
 from ..workspaces.quotas import Refusal, shortest
 from ..workspaces.shares import Keepers
+from ..workspaces.token_cache import Purse
 from .peers import Peers
 from .standing import Standing
 
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -19,12 +19,12 @@
 from ...wire.messages import Reply, Request, TakeTokens
 from ...workspaces import limiter as limiter_module
 from ...workspaces.access import Caller
-from ...workspaces.credits import Purse
 from ...workspaces.directory import RateLimit
 from ...workspaces.limiter import Limiter
 from ...workspaces.quotas import Refusal
 from ...workspaces.shares import Keepers
 from ...workspaces.sliding_window import QuotaBounds
+from ...workspaces.token_cache import Purse
 from .delegates_tests import NoStore
 
 WORKSPACE = Workspace("w")
--- a/sequoiaarch/tests/workspaces/credits_tests.py
+++ b/sequoiaarch/tests/workspaces/credits_tests.py
@@ -7,10 +7,10 @@
 from ...errors import ErrorKind
 from ...ids import Workspace
 from ...workspaces.access import OPEN_CALLER, Caller
-from ...workspaces.credits import Purse
 from ...workspaces.directory import RateLimit
 from ...workspaces.quotas import Credit, Refusal, quota_failure
 from ...workspaces.sliding_window import TOKEN_LIFE
+from ...workspaces.token_cache import Purse
 
 WORKSPACE = Workspace("w")
 CALLER = Caller(workspace=WORKSPACE, limit=RateLimit(rate=1.0, burst=1.0))
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/windows.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, field
 
 from ...ids import DataCentre, HostName, Workspace
-from ...workspaces.credits import Purse
 from ...workspaces.directory import RateLimit
 from ...workspaces.limiter import Limiter, Tokens
 from ...workspaces.shares import Keepers
 from ...workspaces.sliding_window import SHARES, QuotaBounds
 from ...workspaces.tenure import Tenure
+from ...workspaces.token_cache import Purse
 
 WORKSPACE = Workspace("w")
 BOUNDS = QuotaBounds(window=5.0, overage=0.1, slack=20.0)
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -12,10 +12,10 @@
 from ..ids import Workspace
 from ..routing.follower import boot_time
 from .access import Caller
-from .credits import Purse
 from .directory import RateLimit
 from .limiter import Limiter, Tokens
 from .sliding_window import SHARES, QuotaBounds
+from .token_cache import Purse
 
 # Seconds after which a keeper that was lost is likely followed by another one.
 UNKNOWN_RETRY = 0.3
