--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -31,7 +31,7 @@
 from ..workspaces.shares import Keepers
 from ..workspaces.sliding_window import QuotaBounds
 from ..workspaces.tenure import Tenure
-from ..workspaces.token_cache import Purse
+from ..workspaces.token_cache import TokenCache
 from .claiming import Claiming
 from .claims import TOPIC as CLAIMS_TOPIC, Claims
 from .delegates import DelegatedTurns, Delegates
@@ -140,7 +140,7 @@
             standing=standing,
             keepers=self._keepers,
             limiter=self.limiter,
-            purse=Purse(clock=boot_time),
+            token_cache=TokenCache(clock=boot_time),
         )
         self._followers = [
             self._registrations,
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -8,7 +8,7 @@
 from ..workspaces.limiter import NOT_KEPT, Limiter, Tokens
 from ..workspaces.quotas import Refusal, shortest
 from ..workspaces.shares import Keepers
-from ..workspaces.token_cache import Purse
+from ..workspaces.token_cache import TokenCache
 from .peers import Peers
 from .standing import Standing
 
@@ -28,45 +28,45 @@
         standing: Standing,
         keepers: Keepers,
         limiter: Limiter,
-        purse: Purse,
+        token_cache: TokenCache,
     ) -> None:
         self._own = own
         self._peers = peers
         self._standing = standing
         self._keepers = keepers
         self._limiter = limiter
-        self._purse = purse
+        self._token_cache = token_cache
 
     async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
         """Return until when the token counts on the clock, or why there is none."""
         workspace = caller.workspace
         assert workspace is not None
-        held = self._purse.take(workspace)
+        held = self._token_cache.take(workspace)
         if held is not None:
             return held
-        wait = self._purse.refused(workspace, begins=begins)
+        wait = self._token_cache.refused(workspace, begins=begins)
         if wait is not None:
             return Refusal(wait=wait)
         answers = []
         for share, host in self._order(workspace):
-            asked = self._purse.now()
+            asked = self._token_cache.now()
             found = await self._ask(host, workspace, share, begins)
             if found.count:
-                return self._purse.put(workspace, found.count - 1, asked=asked)
+                return self._token_cache.put(workspace, found.count - 1, asked=asked)
             answers.append(found)
         refusal = shortest(answers)
         if refusal.kept:
-            self._purse.refuse(workspace, refusal.wait, begins=begins)
+            self._token_cache.refuse(workspace, refusal.wait, begins=begins)
         return refusal
 
     def give_back(self, caller: Caller, until: float) -> None:
         """Hold the token for another request of this process."""
         if caller.workspace is not None:
-            self._purse.give_back(caller.workspace, until)
+            self._token_cache.give_back(caller.workspace, until)
 
     def now(self) -> float:
         """Return the time of the clock, in seconds."""
-        return self._purse.now()
+        return self._token_cache.now()
 
     def answer(self, request: TakeTokens) -> Reply:
         """Answer another gateway."""
@@ -85,7 +85,7 @@
     async def _ask(
         self, host: HostName, workspace: Workspace, share: int, begins: bool
     ) -> Tokens:
-        count = self._purse.wanted(workspace)
+        count = self._token_cache.wanted(workspace)
         if host == self._own:
             return self._limiter.take(workspace, share, count, begins=begins)
         link = self._peers.link(host)
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -24,7 +24,7 @@
 from ...workspaces.quotas import Refusal
 from ...workspaces.shares import Keepers
 from ...workspaces.sliding_window import QuotaBounds
-from ...workspaces.token_cache import Purse
+from ...workspaces.token_cache import TokenCache
 from .delegates_tests import NoStore
 
 WORKSPACE = Workspace("w")
@@ -73,7 +73,7 @@
             standing=Standing(),
             keepers=self.keepers,
             limiter=self.limiter,
-            purse=Purse(clock=lambda: self.now),
+            token_cache=TokenCache(clock=lambda: self.now),
         )
         self.server.others = self.answer
         self.asked = 0
--- a/sequoiaarch/tests/workspaces/credits_tests.py
+++ b/sequoiaarch/tests/workspaces/credits_tests.py
@@ -10,7 +10,7 @@
 from ...workspaces.directory import RateLimit
 from ...workspaces.quotas import Credit, Refusal, quota_failure
 from ...workspaces.sliding_window import TOKEN_LIFE
-from ...workspaces.token_cache import Purse
+from ...workspaces.token_cache import TokenCache
 
 WORKSPACE = Workspace("w")
 CALLER = Caller(workspace=WORKSPACE, limit=RateLimit(rate=1.0, burst=1.0))
@@ -93,41 +93,41 @@
         self.assertEqual((unknown.answer.status, unknown.wait), (503, 0.3))
 
 
-class PurseTests(unittest.TestCase):
+class TokenCacheTests(unittest.TestCase):
     """Hold tokens for a while."""
 
     def setUp(self) -> None:
         """Begin with none."""
         self.time = 10.0
-        self.purse = Purse(clock=lambda: self.time)
+        self.token_cache = TokenCache(clock=lambda: self.time)
 
     def test_tokens_end(self) -> None:
         """Use no token after its time, as a process does that was frozen."""
-        self.purse.put(WORKSPACE, 3, asked=self.time)
-        self.assertIsNotNone(self.purse.take(WORKSPACE))
+        self.token_cache.put(WORKSPACE, 3, asked=self.time)
+        self.assertIsNotNone(self.token_cache.take(WORKSPACE))
         self.time += TOKEN_LIFE
-        self.assertIsNone(self.purse.take(WORKSPACE))
+        self.assertIsNone(self.token_cache.take(WORKSPACE))
 
     def test_late_answer(self) -> None:
         """Count the life of tokens from when they were asked for."""
         asked = self.time
         self.time += TOKEN_LIFE + 0.1
-        self.purse.put(WORKSPACE, 3, asked=asked)
-        self.assertIsNone(self.purse.take(WORKSPACE))
+        self.token_cache.put(WORKSPACE, 3, asked=asked)
+        self.assertIsNone(self.token_cache.take(WORKSPACE))
 
     def test_older_lot_counts_for_both(self) -> None:
         """Let no token live longer through one that is younger."""
-        self.purse.put(WORKSPACE, 1, asked=self.time)
+        self.token_cache.put(WORKSPACE, 1, asked=self.time)
         self.time += 0.2
-        self.purse.put(WORKSPACE, 1, asked=self.time)
+        self.token_cache.put(WORKSPACE, 1, asked=self.time)
         self.time += 0.1
-        self.assertIsNone(self.purse.take(WORKSPACE))
+        self.assertIsNone(self.token_cache.take(WORKSPACE))
 
     def test_lots_are_asked_for_by_the_rate(self) -> None:
         """Ask for one token at a time, and for more where many are used at once."""
-        self.purse.take(WORKSPACE)
-        self.assertEqual(self.purse.wanted(WORKSPACE), 1)
+        self.token_cache.take(WORKSPACE)
+        self.assertEqual(self.token_cache.wanted(WORKSPACE), 1)
         for _ in range(400):
             self.time += 0.002
-            self.purse.take(WORKSPACE)
-        self.assertGreater(self.purse.wanted(WORKSPACE), 5)
+            self.token_cache.take(WORKSPACE)
+        self.assertGreater(self.token_cache.wanted(WORKSPACE), 5)
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/windows.py
@@ -13,7 +13,7 @@
 from ...workspaces.shares import Keepers
 from ...workspaces.sliding_window import SHARES, QuotaBounds
 from ...workspaces.tenure import Tenure
-from ...workspaces.token_cache import Purse
+from ...workspaces.token_cache import TokenCache
 
 WORKSPACE = Workspace("w")
 BOUNDS = QuotaBounds(window=5.0, overage=0.1, slack=20.0)
@@ -54,7 +54,7 @@
         self.version = 0
         self.filled: set[int] = set()
         self.tenure = Tenure(lease=LEASE, clock=fleet.clock)
-        self.purse = Purse(clock=fleet.clock)
+        self.token_cache = TokenCache(clock=fleet.clock)
         self.keepers = Keepers(hosts=self._centres, version=lambda: self.version)
         self.limiter = Limiter(
             bounds=BOUNDS,
@@ -100,7 +100,7 @@
 
     def take(self, asked: float, begins: bool) -> bool:
         """Run a request if a token can be had; return whether it ran."""
-        held = self.purse.take(WORKSPACE)
+        held = self.token_cache.take(WORKSPACE)
         if held is None:
             held = self._ask(asked, begins)
         if held is None:
@@ -127,10 +127,10 @@
             keeper = self.fleet.lives.get(host)
             if keeper is None or not keeper.runs:
                 continue
-            count = self.purse.wanted(WORKSPACE)
+            count = self.token_cache.wanted(WORKSPACE)
             found = keeper.answer(share, count, begins)
             if found.count:
-                return self.purse.put(WORKSPACE, found.count - 1, asked=asked)
+                return self.token_cache.put(WORKSPACE, found.count - 1, asked=asked)
         return None
 
     def _change(
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -15,7 +15,7 @@
 from .directory import RateLimit
 from .limiter import Limiter, Tokens
 from .sliding_window import SHARES, QuotaBounds
-from .token_cache import Purse
+from .token_cache import TokenCache
 
 # Seconds after which a keeper that was lost is likely followed by another one.
 UNKNOWN_RETRY = 0.3
@@ -44,9 +44,9 @@
 class LocalQuotas:
     """Keep all shares in this process, which is the only one."""
 
-    def __init__(self, *, limiter: Limiter, purse: Purse) -> None:
+    def __init__(self, *, limiter: Limiter, token_cache: TokenCache) -> None:
         self._limiter = limiter
-        self._purse = purse
+        self._token_cache = token_cache
 
     async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
         """Take a token of any share."""
@@ -56,26 +56,26 @@
         """Take a token of any share, which needs no wait."""
         workspace = caller.workspace
         assert workspace is not None
-        asked = self._purse.now()
-        until = self._purse.take(workspace)
+        asked = self._token_cache.now()
+        until = self._token_cache.take(workspace)
         if until is not None:
             return until
         waits = []
         for share in range(SHARES):
             found = self._limiter.take(workspace, share, 1, begins=begins)
             if found.count:
-                return self._purse.put(workspace, 0, asked=asked)
+                return self._token_cache.put(workspace, 0, asked=asked)
             waits.append(found.wait or 0.0)
         return Refusal(wait=min(waits))
 
     def give_back(self, caller: Caller, until: float) -> None:
         """Hold the token for another request."""
         if caller.workspace is not None:
-            self._purse.give_back(caller.workspace, until)
+            self._token_cache.give_back(caller.workspace, until)
 
     def now(self) -> float:
         """Return the time of the clock, in seconds."""
-        return self._purse.now()
+        return self._token_cache.now()
 
 
 def local_quotas(
@@ -92,7 +92,7 @@
         clock=boot_time,
         rng=random.Random(),
     )
-    return LocalQuotas(limiter=limiter, purse=Purse(clock=boot_time))
+    return LocalQuotas(limiter=limiter, token_cache=TokenCache(clock=boot_time))
 
 
 class Credit:
--- a/sequoiaarch/workspaces/token_cache.py
+++ b/sequoiaarch/workspaces/token_cache.py
@@ -33,7 +33,7 @@
     begins_until: float = 0.0
 
 
-class Purse:
+class TokenCache:
     """Hold what was handed out to this process, and what it may no more use.
 
     `clock` counts pauses of the machine: a process that was frozen must not use
