--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -13,7 +13,7 @@
 from ..routing.routes import Route
 from ..routing.targets import TargetEntry
 from ..workspaces.access import Caller
-from ..workspaces.quotas import Credit, quota_failure
+from ..workspaces.quotas import RequestToken, quota_failure
 from .calls import AnswerInfo, CallInfo, Dispatch
 from .dispatcher import Dispatcher
 
@@ -49,7 +49,7 @@
         message: RequestMessage,
         info: CallInfo,
         caller: Caller,
-        credit: Credit,
+        request_token: RequestToken,
         route: Route,
         deadline: float,
         dispatcher: Dispatcher,
@@ -57,7 +57,7 @@
         self._message = message
         self._info = info
         self._caller = caller
-        self._credit = credit
+        self._request_token = request_token
         self._route = route
         self._deadline = deadline
         self._dispatcher = dispatcher
@@ -147,18 +147,18 @@
         try:
             link = await self._dispatcher.pool.take(target)
             await self._admit_send()
-            token = self._credit.spend()
+            token = self._request_token.spend()
             await link.send(self._outgoing(target))
             self._sends += 1
             self._dispatcher.sent(target, self._route, self._info, self)
             running = await self._await_head(target, link)
             if running is None:
-                self._credit.restore(token)
+                self._request_token.restore(token)
         except LinkError as error:
             load.judged(target.incarnation, ok=False)
             self._abort(link)
             if not error.sent:
-                self._credit.restore(token)
+                self._request_token.restore(token)
             if error.sent and not self.may_repeat(error):
                 raise fail(ErrorKind.INTERRUPTED, str(error)) from error
         except BaseException:
@@ -221,7 +221,7 @@
     async def _admit_send(self) -> None:
         """Check key and limit as the request is sent; it may have waited for long."""
         try:
-            refusal = await self._credit.ensure()
+            refusal = await self._request_token.ensure()
             if refusal is not None:
                 raise quota_failure(self._caller, refusal)
             # Last, as a keeper that does not answer takes a while.
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -17,7 +17,7 @@
 from ..routing.routes import Route, RouteKind
 from ..workspaces.access import Caller
 from ..workspaces.directory import scoped
-from ..workspaces.quotas import Credit, Quotas
+from ..workspaces.quotas import Quotas, RequestToken
 from .attempts import Attempts, Running
 from .calls import CallInfo
 from .dispatcher import Dispatcher
@@ -68,12 +68,12 @@
         self._ledger = ledger
         self._turns = turns
         self._deadline = deadline
-        self._credit = Credit(quotas=quotas, caller=caller)
+        self._request_token = RequestToken(quotas=quotas, caller=caller)
         self._attempts = Attempts(
             message=message,
             info=info,
             caller=caller,
-            credit=self._credit,
+            request_token=self._request_token,
             route=route,
             deadline=deadline,
             dispatcher=dispatcher,
@@ -89,7 +89,7 @@
         try:
             await self._run()
         finally:
-            self._credit.close()
+            self._request_token.close()
 
     async def _run(self) -> None:
         if self._route.kind is not RouteKind.STREAM:
@@ -107,7 +107,7 @@
         turn = await self._open_turn(budget)
         self.trail.append(f"spent {turn.spent} of {budget} tokens, kept {turn.where}")
         self._attempts.spent = turn.spent / max(1, budget)
-        self._credit.begins = turn.spent == 0 and turn.history is None
+        self._request_token.begins = turn.spent == 0 and turn.history is None
         if turn.history is not None:
             self._attempts.body = turn.history.prompt + self._message.body
             self.trail.append(f"history of {len(turn.history.prompt)} bytes")
--- a/sequoiaarch/tests/workspaces/credits_tests.py
+++ b/sequoiaarch/tests/workspaces/credits_tests.py
@@ -8,7 +8,7 @@
 from ...ids import Workspace
 from ...workspaces.access import OPEN_CALLER, Caller
 from ...workspaces.directory import RateLimit
-from ...workspaces.quotas import Credit, Refusal, quota_failure
+from ...workspaces.quotas import Refusal, RequestToken, quota_failure
 from ...workspaces.sliding_window import TOKEN_LIFE
 from ...workspaces.token_cache import TokenCache
 
@@ -43,10 +43,10 @@
 class CreditTests(unittest.IsolatedAsyncioTestCase):
     """Send a request once and again."""
 
-    def credit(self, tokens: int) -> tuple[Credit, _Quotas]:
+    def credit(self, tokens: int) -> tuple[RequestToken, _Quotas]:
         """Return the credit of a request and what it draws on."""
         quotas = _Quotas(tokens)
-        return Credit(quotas=quotas, caller=CALLER), quotas
+        return RequestToken(quotas=quotas, caller=CALLER), quotas
 
     async def test_each_send_takes_a_token(self) -> None:
         """Count the second target of a request too."""
@@ -81,7 +81,7 @@
 
     async def test_workspace_without_a_limit(self) -> None:
         """Ask for nothing where there is no limit."""
-        credit = Credit(quotas=_Quotas(0), caller=OPEN_CALLER)
+        credit = RequestToken(quotas=_Quotas(0), caller=OPEN_CALLER)
         self.assertIsNone(await credit.ensure())
 
     def test_refusals(self) -> None:
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -95,7 +95,7 @@
     return LocalQuotas(limiter=limiter, token_cache=TokenCache(clock=boot_time))
 
 
-class Credit:
+class RequestToken:
     """Hold the token of one request, and have one more for each further send.
 
     Every send that reaches a target counts. One that a target did not run gives its
