--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -28,7 +28,7 @@
 )
 from ..workspaces.directory import RateLimit
 from ..workspaces.limiter import Limiter
-from ..workspaces.shares import Keepers
+from ..workspaces.shares import ShareOwners
 from ..workspaces.sliding_window import QuotaBounds
 from ..workspaces.tenure import Tenure
 from ..workspaces.token_cache import TokenCache
@@ -122,13 +122,13 @@
         self._joining = Joining(own=own, writer=writer, peers=peers, tenure=self.tenure)
         peers.own_changed = self._own_changed
         self._hosts_seen = peers.hosts_version
-        self._keepers = Keepers(
+        self._owners = ShareOwners(
             hosts=peers.by_centre, version=lambda: peers.hosts_version
         )
         self.limiter = Limiter(
             bounds=limits.bounds,
             limits=limits.of,
-            keeps=self._keeps,
+            owns=self._owns,
             term=lambda: self.tenure.term,
             since=lambda: self.tenure.since,
             clock=boot_time,
@@ -138,7 +138,7 @@
             own=own,
             peers=peers,
             standing=standing,
-            keepers=self._keepers,
+            owners=self._owners,
             limiter=self.limiter,
             token_cache=TokenCache(clock=boot_time),
         )
@@ -206,7 +206,7 @@
             return
         self._hosts_seen = self._peers.hosts_version
         self.tenure.hosts_changed()
-        self.limiter.drop_lost()
+        self.limiter.drop_unowned()
 
     def _own_changed(self, writer: WriterId | None, ordered: bool) -> None:
         if writer is None:
@@ -214,8 +214,8 @@
         else:
             self.tenure.registered(own=writer == self._writer, ordered=ordered)
 
-    def _keeps(self, workspace: Workspace, share: int) -> bool:
+    def _owns(self, workspace: Workspace, share: int) -> bool:
         """Return whether a share of a workspace's limit is kept here."""
-        keepers = self._keepers.of(workspace)
-        ranked = share < len(keepers) and keepers[share] == self._own
+        owners = self._owners.of(workspace)
+        ranked = share < len(owners) and owners[share] == self._own
         return ranked and self.tenure.acts
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -5,9 +5,9 @@
 from ..ids import HostName, Workspace
 from ..wire.messages import Reply, TakeTokens, TokensTaken
 from ..workspaces.access import Caller
-from ..workspaces.limiter import NOT_KEPT, Limiter, Tokens
+from ..workspaces.limiter import NOT_OWNED, Limiter, Tokens
 from ..workspaces.quotas import Refusal, shortest
-from ..workspaces.shares import Keepers
+from ..workspaces.shares import ShareOwners
 from ..workspaces.token_cache import TokenCache
 from .peers import Peers
 from .standing import Standing
@@ -26,14 +26,14 @@
         own: HostName,
         peers: Peers,
         standing: Standing,
-        keepers: Keepers,
+        owners: ShareOwners,
         limiter: Limiter,
         token_cache: TokenCache,
     ) -> None:
         self._own = own
         self._peers = peers
         self._standing = standing
-        self._keepers = keepers
+        self._owners = owners
         self._limiter = limiter
         self._token_cache = token_cache
 
@@ -78,7 +78,7 @@
     def _order(self, workspace: Workspace) -> list[tuple[int, HostName]]:
         """Return the shares with their keepers, the nearest first."""
         near = {self._own, *self._peers.near()}
-        shares = list(enumerate(self._keepers.of(workspace)))
+        shares = list(enumerate(self._owners.of(workspace)))
         shares.sort(key=lambda entry: (entry[1] != self._own, entry[1] not in near))
         return shares
 
@@ -90,13 +90,13 @@
             return self._limiter.take(workspace, share, count, begins=begins)
         link = self._peers.link(host)
         if link is None or not self._standing.usable(host):
-            return NOT_KEPT
+            return NOT_OWNED
         request = TakeTokens(
             workspace=workspace, share=share, count=count, begins=begins
         )
         reply = await link.call(request, timeout=ASK_TIMEOUT)
         if not isinstance(reply, TokensTaken):
             self._standing.failed(host, str(reply))
-            return NOT_KEPT
+            return NOT_OWNED
         self._standing.served(host)
         return reply.tokens
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -22,7 +22,7 @@
 from ...workspaces.directory import RateLimit
 from ...workspaces.limiter import Limiter
 from ...workspaces.quotas import Refusal
-from ...workspaces.shares import Keepers
+from ...workspaces.shares import ShareOwners
 from ...workspaces.sliding_window import QuotaBounds
 from ...workspaces.token_cache import TokenCache
 from .delegates_tests import NoStore
@@ -55,13 +55,13 @@
             rng=random.Random(1),
         )
         self.now = START
-        self.keepers = Keepers(
+        self.owners = ShareOwners(
             hosts=self.peers.by_centre, version=lambda: self.peers.version
         )
         self.limiter = Limiter(
             bounds=BOUNDS,
             limits=lambda name: LIMIT,
-            keeps=lambda name, share: self.keepers.of(name)[share] == self.name,
+            owns=lambda name, share: self.owners.of(name)[share] == self.name,
             term=lambda: 1,
             since=lambda: 0.0,
             clock=lambda: self.now,
@@ -71,7 +71,7 @@
             own=self.name,
             peers=self.peers,
             standing=Standing(),
-            keepers=self.keepers,
+            owners=self.owners,
             limiter=self.limiter,
             token_cache=TokenCache(clock=lambda: self.now),
         )
@@ -116,16 +116,16 @@
             host.server.close()
         self.context.destroy(linger=0)
 
-    def keepers(self) -> list[_Host]:
+    def owners(self) -> list[_Host]:
         """Return the host of each share."""
-        names = self.hosts[0].keepers.of(WORKSPACE)
+        names = self.hosts[0].owners.of(WORKSPACE)
         return [one for name in names for one in self.hosts if one.name == name]
 
     async def test_hosts_agree_on_keepers_of_all_data_centres(self) -> None:
         """Choose the same three keepers everywhere, one in each data centre."""
-        found = {host.keepers.of(WORKSPACE) for host in self.hosts}
+        found = {host.owners.of(WORKSPACE) for host in self.hosts}
         self.assertEqual(len(found), 1)
-        self.assertEqual({one.data_centre for one in self.keepers()}, set(CENTRES))
+        self.assertEqual({one.data_centre for one in self.owners()}, set(CENTRES))
 
     async def test_all_hosts_together_get_what_a_window_allows(self) -> None:
         """Serve a limit whole, through one host or all, and no more than it."""
@@ -148,7 +148,7 @@
 
     async def test_lost_keeper(self) -> None:
         """Go on with the other shares when a keeper is lost."""
-        lost = self.keepers()[0]
+        lost = self.owners()[0]
         near = [one for one in self.hosts if one.data_centre == lost.data_centre]
         host = next(one for one in near if one is not lost)
         lost.server.close()
@@ -158,7 +158,7 @@
         """Say that the limit is not known where nobody who keeps it answers."""
         for host in self.hosts:
             host.server.close()
-        asking = next(one for one in self.hosts if one not in self.keepers())
+        asking = next(one for one in self.hosts if one not in self.owners())
         found = await asking.take()
         assert isinstance(found, Refusal)
         self.assertFalse(found.kept)
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/windows.py
@@ -10,7 +10,7 @@
 from ...ids import DataCentre, HostName, Workspace
 from ...workspaces.directory import RateLimit
 from ...workspaces.limiter import Limiter, Tokens
-from ...workspaces.shares import Keepers
+from ...workspaces.shares import ShareOwners
 from ...workspaces.sliding_window import SHARES, QuotaBounds
 from ...workspaces.tenure import Tenure
 from ...workspaces.token_cache import TokenCache
@@ -55,11 +55,11 @@
         self.filled: set[int] = set()
         self.tenure = Tenure(lease=LEASE, clock=fleet.clock)
         self.token_cache = TokenCache(clock=fleet.clock)
-        self.keepers = Keepers(hosts=self._centres, version=lambda: self.version)
+        self.owners = ShareOwners(hosts=self._centres, version=lambda: self.version)
         self.limiter = Limiter(
             bounds=BOUNDS,
             limits=lambda name: fleet.limit,
-            keeps=self._keeps,
+            owns=self._owns,
             term=lambda: self.tenure.term,
             since=lambda: self.tenure.since,
             clock=fleet.clock,
@@ -96,7 +96,7 @@
         self.version = len(self.fleet.changes)
         if self.tenure.waits and all(map(self._seen_by, self.view)):
             self.tenure.seen_by_all()
-        self.limiter.drop_lost()
+        self.limiter.drop_unowned()
 
     def take(self, asked: float, begins: bool) -> bool:
         """Run a request if a token can be had; return whether it ran."""
@@ -123,7 +123,7 @@
                 found.count._entries.clear()
 
     def _ask(self, asked: float, begins: bool) -> float | None:
-        for share, host in enumerate(self.keepers.of(WORKSPACE)):
+        for share, host in enumerate(self.owners.of(WORKSPACE)):
             keeper = self.fleet.lives.get(host)
             if keeper is None or not keeper.runs:
                 continue
@@ -167,9 +167,9 @@
             found[one.centre].append(host)
         return found
 
-    def _keeps(self, workspace: Workspace, share: int) -> bool:
-        keepers = self.keepers.of(workspace)
-        ranked = bool(keepers) and keepers[share] == self.host
+    def _owns(self, workspace: Workspace, share: int) -> bool:
+        owners = self.owners.of(workspace)
+        ranked = bool(owners) and owners[share] == self.host
         return ranked and self.tenure.acts
 
 
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -29,7 +29,7 @@
     wait: float | None = None
 
 
-NOT_KEPT = Tokens()
+NOT_OWNED = Tokens()
 
 
 @dataclass(kw_only=True, eq=False)
@@ -53,7 +53,7 @@
         *,
         bounds: QuotaBounds,
         limits: Callable[[Workspace], RateLimit | None],
-        keeps: Callable[[Workspace, int], bool],
+        owns: Callable[[Workspace, int], bool],
         term: Callable[[], int],
         since: Callable[[], float],
         clock: Callable[[], float],
@@ -61,7 +61,7 @@
     ) -> None:
         self._bounds = bounds
         self._limits = limits
-        self._keeps = keeps
+        self._owns = owns
         self._term = term
         self._since = since
         self._clock = clock
@@ -74,7 +74,7 @@
         """Hand out some of the tokens that are asked for, or say when to come back."""
         found = self._share(workspace, share)
         if found is None:
-            return NOT_KEPT
+            return NOT_OWNED
         now = self._clock()
         taken = found.count.take(count, now, begins=begins)
         if taken:
@@ -82,10 +82,10 @@
         wait = found.count.wait(now, begins=begins)
         return Tokens(wait=wait + self._spread(found, now))
 
-    def drop_lost(self) -> None:
+    def drop_unowned(self) -> None:
         """Forget shares that passed to another process."""
         for key in list(self._shares):
-            if not self._keeps(*key):
+            if not self._owns(*key):
                 del self._shares[key]
 
     def free(self) -> dict[tuple[Workspace, int], float]:
@@ -95,7 +95,7 @@
 
     def _share(self, workspace: Workspace, share: int) -> _Share | None:
         limit = self._limits(workspace)
-        if limit is None or not self._keeps(workspace, share):
+        if limit is None or not self._owns(workspace, share):
             self._shares.pop((workspace, share), None)
             return None
         terms = share_terms(limit, self._bounds)
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -86,7 +86,7 @@
     limiter = Limiter(
         bounds=bounds,
         limits=limits,
-        keeps=lambda workspace, share: True,
+        owns=lambda workspace, share: True,
         term=lambda: 0,
         since=lambda: started,
         clock=boot_time,
--- a/sequoiaarch/workspaces/shares.py
+++ b/sequoiaarch/workspaces/shares.py
@@ -12,7 +12,7 @@
 Hosts = Mapping[DataCentre, Sequence[HostName]]
 
 
-class Keepers:
+class ShareOwners:
     """Rank hosts for shares by rendezvous, alike in every process.
 
     The shares of a workspace go to hosts of different data centres, so that most
