--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -27,10 +27,10 @@
     TargetReport,
 )
 from ..workspaces.directory import RateLimit
+from ..workspaces.host_lease import Tenure
 from ..workspaces.limiter import Limiter
 from ..workspaces.shares import ShareOwners
 from ..workspaces.sliding_window import QuotaBounds
-from ..workspaces.tenure import Tenure
 from ..workspaces.token_cache import TokenCache
 from .claiming import Claiming
 from .claims import TOPIC as CLAIMS_TOPIC, Claims
--- a/sequoiaarch/fleet/joining.py
+++ b/sequoiaarch/fleet/joining.py
@@ -6,7 +6,7 @@
 
 from ..ids import HostName, WriterId
 from ..wire.messages import Accepted, Reply, SeenRequest
-from ..workspaces.tenure import Tenure
+from ..workspaces.host_lease import Tenure
 from .peers import Peers
 from .turn_server import failed
 
--- a/sequoiaarch/tests/fleet/joining_tests.py
+++ b/sequoiaarch/tests/fleet/joining_tests.py
@@ -16,7 +16,7 @@
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, SeenRequest
-from ...workspaces.tenure import Tenure
+from ...workspaces.host_lease import Tenure
 from .delegates_tests import NoStore
 
 LEASE = 4.0
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/windows.py
@@ -9,10 +9,10 @@
 
 from ...ids import DataCentre, HostName, Workspace
 from ...workspaces.directory import RateLimit
+from ...workspaces.host_lease import Tenure
 from ...workspaces.limiter import Limiter, Tokens
 from ...workspaces.shares import ShareOwners
 from ...workspaces.sliding_window import SHARES, QuotaBounds
-from ...workspaces.tenure import Tenure
 from ...workspaces.token_cache import TokenCache
 
 WORKSPACE = Workspace("w")
