--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -27,7 +27,7 @@
     TargetReport,
 )
 from ..workspaces.directory import RateLimit
-from ..workspaces.host_lease import Tenure
+from ..workspaces.host_lease import HostLease
 from ..workspaces.limiter import Limiter
 from ..workspaces.shares import ShareOwners
 from ..workspaces.sliding_window import QuotaBounds
@@ -110,16 +110,18 @@
             ledger=ledger,
         )
         self.reports = TargetReports(own=own, peers=peers, health=health)
-        self.tenure = Tenure(lease=limits.lease, clock=boot_time)
+        self.host_lease = HostLease(lease=limits.lease, clock=boot_time)
         self._registrations = TopicFollower(
             log=keyed_log,
             topic=PEERS_TOPIC,
             replace=self._replace_peers,
             change=self._change_peer,
             wait=limits.wait,
-            viewed=self.tenure.viewed,
+            viewed=self.host_lease.renew,
+        )
+        self._joining = Joining(
+            own=own, writer=writer, peers=peers, host_lease=self.host_lease
         )
-        self._joining = Joining(own=own, writer=writer, peers=peers, tenure=self.tenure)
         peers.own_changed = self._own_changed
         self._hosts_seen = peers.hosts_version
         self._owners = ShareOwners(
@@ -129,8 +131,8 @@
             bounds=limits.bounds,
             limits=limits.of,
             owns=self._owns,
-            term=lambda: self.tenure.term,
-            since=lambda: self.tenure.since,
+            term=lambda: self.host_lease.term,
+            since=lambda: self.host_lease.since,
             clock=boot_time,
             rng=random.Random(),
         )
@@ -186,7 +188,7 @@
     async def leave(self) -> None:
         """Take back claims and registration."""
         await self._claiming.stop(self._log)
-        self.tenure.cease()
+        self.host_lease.release()
         await self._peers.unregister(self._log, self._writer)
 
     def _seen_from(self) -> float:
@@ -205,17 +207,17 @@
         if self._hosts_seen == self._peers.hosts_version:
             return
         self._hosts_seen = self._peers.hosts_version
-        self.tenure.hosts_changed()
+        self.host_lease.hosts_changed()
         self.limiter.drop_unowned()
 
     def _own_changed(self, writer: WriterId | None, ordered: bool) -> None:
         if writer is None:
-            self.tenure.unregistered()
+            self.host_lease.unregistered()
         else:
-            self.tenure.registered(own=writer == self._writer, ordered=ordered)
+            self.host_lease.registered(own=writer == self._writer, ordered=ordered)
 
     def _owns(self, workspace: Workspace, share: int) -> bool:
         """Return whether a share of a workspace's limit is kept here."""
         owners = self._owners.of(workspace)
         ranked = share < len(owners) and owners[share] == self._own
-        return ranked and self.tenure.acts
+        return ranked and self.host_lease.active
--- a/sequoiaarch/fleet/joining.py
+++ b/sequoiaarch/fleet/joining.py
@@ -6,7 +6,7 @@
 
 from ..ids import HostName, WriterId
 from ..wire.messages import Accepted, Reply, SeenRequest
-from ..workspaces.host_lease import Tenure
+from ..workspaces.host_lease import HostLease
 from .peers import Peers
 from .turn_server import failed
 
@@ -26,19 +26,19 @@
     """
 
     def __init__(
-        self, *, own: HostName, writer: WriterId, peers: Peers, tenure: Tenure
+        self, *, own: HostName, writer: WriterId, peers: Peers, host_lease: HostLease
     ) -> None:
         self._own = own
         self._writer = writer
         self._peers = peers
-        self._tenure = tenure
+        self._host_lease = host_lease
 
     async def run(self) -> None:
         """Ask whenever this host waits, again and again."""
         while True:
             await asyncio.sleep(ASK_INTERVAL)
-            if self._tenure.waits and await self._all_see():
-                self._tenure.seen_by_all()
+            if self._host_lease.pending and await self._all_see():
+                self._host_lease.seen_by_all()
 
     def answer(self, request: SeenRequest) -> Reply:
         """Tell another host whether it is seen."""
--- a/sequoiaarch/tests/fleet/joining_tests.py
+++ b/sequoiaarch/tests/fleet/joining_tests.py
@@ -16,7 +16,7 @@
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, SeenRequest
-from ...workspaces.host_lease import Tenure
+from ...workspaces.host_lease import HostLease
 from .delegates_tests import NoStore
 
 LEASE = 4.0
@@ -41,9 +41,12 @@
             seeds=[],
             rng=random.Random(1),
         )
-        self.tenure = Tenure(lease=LEASE, clock=lambda: self.now)
+        self.host_lease = HostLease(lease=LEASE, clock=lambda: self.now)
         self.joining = Joining(
-            own=self.name, writer=self.writer, peers=self.peers, tenure=self.tenure
+            own=self.name,
+            writer=self.writer,
+            peers=self.peers,
+            host_lease=self.host_lease,
         )
         self.server.others = self.answer
 
@@ -72,8 +75,8 @@
         )
         for other in self.others:
             self.new.see(other)
-        self.new.tenure.registered(own=True, ordered=True)
-        self.new.tenure.viewed(self.new.now)
+        self.new.host_lease.registered(own=True, ordered=True)
+        self.new.host_lease.renew(self.new.now)
         hosts = [self.new, *self.others]
         self.serving = [asyncio.create_task(one.server.run()) for one in hosts]
         self.serving.append(asyncio.create_task(self.new.joining.run()))
@@ -96,26 +99,26 @@
         for other in self.others:
             other.see(self.new)
         await self.asked()
-        self.assertTrue(self.new.tenure.acts)
+        self.assertTrue(self.new.host_lease.active)
 
     async def test_one_has_an_old_view(self) -> None:
         """Wait for a host that may act by a view without this one."""
         self.others[0].see(self.new)
         await self.asked()
-        self.assertFalse(self.new.tenure.acts)
+        self.assertFalse(self.new.host_lease.active)
         self.others[1].see(self.new)
         await self.asked()
-        self.assertTrue(self.new.tenure.acts)
+        self.assertTrue(self.new.host_lease.active)
 
     async def test_one_does_not_answer(self) -> None:
         """Wait for a lease where a host is lost or cut off, and act then."""
         self.others[0].see(self.new)
         self.others[1].server.close()
         await asyncio.sleep(3 * joining_module.ASK_TIMEOUT)
-        self.assertFalse(self.new.tenure.acts)
+        self.assertFalse(self.new.host_lease.active)
         self.new.now += 1.1 * LEASE
-        self.new.tenure.viewed(self.new.now)
-        self.assertTrue(self.new.tenure.acts)
+        self.new.host_lease.renew(self.new.now)
+        self.assertTrue(self.new.host_lease.active)
 
     async def test_other_process_of_the_host_is_seen(self) -> None:
         """Wait while others see an earlier process of this host, which has ended."""
@@ -123,4 +126,4 @@
             other.see(self.new)
         self.new.joining._writer = WriterId("later")
         await self.asked()
-        self.assertFalse(self.new.tenure.acts)
+        self.assertFalse(self.new.host_lease.active)
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/windows.py
@@ -9,7 +9,7 @@
 
 from ...ids import DataCentre, HostName, Workspace
 from ...workspaces.directory import RateLimit
-from ...workspaces.host_lease import Tenure
+from ...workspaces.host_lease import HostLease
 from ...workspaces.limiter import Limiter, Tokens
 from ...workspaces.shares import ShareOwners
 from ...workspaces.sliding_window import SHARES, QuotaBounds
@@ -53,15 +53,15 @@
         self.view: dict[HostName, Registration] = {}
         self.version = 0
         self.filled: set[int] = set()
-        self.tenure = Tenure(lease=LEASE, clock=fleet.clock)
+        self.host_lease = HostLease(lease=LEASE, clock=fleet.clock)
         self.token_cache = TokenCache(clock=fleet.clock)
         self.owners = ShareOwners(hosts=self._centres, version=lambda: self.version)
         self.limiter = Limiter(
             bounds=BOUNDS,
             limits=lambda name: fleet.limit,
             owns=self._owns,
-            term=lambda: self.tenure.term,
-            since=lambda: self.tenure.since,
+            term=lambda: self.host_lease.term,
+            since=lambda: self.host_lease.since,
             clock=fleet.clock,
             rng=fleet.rng,
         )
@@ -82,20 +82,20 @@
         """Read the registrations, in the order in which they changed."""
         if not self.reached:
             if self.fleet.plants.acts_by_old_views:
-                self.tenure.viewed(self.fleet.now)
+                self.host_lease.renew(self.fleet.now)
             return
         first = self.seen_from == float("-inf")
         if self.version < len(self.fleet.changes):
-            self.tenure.hosts_changed()
+            self.host_lease.hosts_changed()
         self.seen_from = self.fleet.now
-        self.tenure.viewed(self.fleet.now)
+        self.host_lease.renew(self.fleet.now)
         for host, found in self.fleet.changes[self.version :]:
             self._change(host, found, ordered=not first)
         if first:
             self._tell_own(ordered=False)
         self.version = len(self.fleet.changes)
-        if self.tenure.waits and all(map(self._seen_by, self.view)):
-            self.tenure.seen_by_all()
+        if self.host_lease.pending and all(map(self._seen_by, self.view)):
+            self.host_lease.seen_by_all()
         self.limiter.drop_unowned()
 
     def take(self, asked: float, begins: bool) -> bool:
@@ -153,13 +153,13 @@
     def _tell_own(self, *, ordered: bool) -> None:
         own = self.view.get(self.host)
         if own is None:
-            self.tenure.unregistered()
+            self.host_lease.unregistered()
         else:
             mine = own.life == self.number
             at_once = self.fleet.plants.acts_at_once and mine
             if at_once:
-                self.tenure.registered(own=False, ordered=True)
-            self.tenure.registered(own=mine, ordered=ordered or at_once)
+                self.host_lease.registered(own=False, ordered=True)
+            self.host_lease.registered(own=mine, ordered=ordered or at_once)
 
     def _centres(self) -> dict[DataCentre, list[HostName]]:
         found = defaultdict(list)
@@ -170,7 +170,7 @@
     def _owns(self, workspace: Workspace, share: int) -> bool:
         owners = self.owners.of(workspace)
         ranked = bool(owners) and owners[share] == self.host
-        return ranked and self.tenure.acts
+        return ranked and self.host_lease.active
 
 
 @dataclass(kw_only=True, eq=False)
@@ -216,7 +216,7 @@
         life = self.lives.get(host)
         if life is None or not life.reached:
             return
-        life.tenure.cease()
+        life.host_lease.release()
         self.changes.append((host, None))
         self.kill(host)
 
--- a/sequoiaarch/workspaces/host_lease.py
+++ b/sequoiaarch/workspaces/host_lease.py
@@ -8,7 +8,7 @@
 CLOCK_MARGIN = 1.05
 
 
-class Tenure:
+class HostLease:
     """Let at most one process at a time act on a share, without a lock.
 
     Hosts are ranked by the registrations in the store, and each process sees them
@@ -45,7 +45,7 @@
         return max(begun, self._changed)
 
     @property
-    def acts(self) -> bool:
+    def active(self) -> bool:
         """Return whether this process may act now."""
         now = self._clock()
         if self._ceased or self._acts_from is None or now < self._acts_from:
@@ -74,7 +74,7 @@
             self._acts_from = min(self._acts_from, self._clock())
 
     @property
-    def waits(self) -> bool:
+    def pending(self) -> bool:
         """Return whether this host is registered and may not act yet."""
         return self._acts_from is not None and self._clock() < self._acts_from
 
@@ -83,7 +83,7 @@
         self._before = False
         self._acts_from = None
 
-    def viewed(self, since: float) -> None:
+    def renew(self, since: float) -> None:
         """Note a view of the registrations that is as of a time of the clock."""
         if since - self._last_view > self._lease:
             self.term += 1
@@ -94,6 +94,6 @@
         """Note that something may have come to this host, or gone."""
         self._changed = self._clock()
 
-    def cease(self) -> None:
+    def release(self) -> None:
         """Act no more, as the registration is to be removed."""
         self._ceased = True
