--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -5,7 +5,7 @@
 from ..ids import HostName, Workspace
 from ..wire.messages import Reply, TakeTokens, TokensTaken
 from ..workspaces.access import Caller
-from ..workspaces.limiter import NOT_OWNED, Limiter, Tokens
+from ..workspaces.limiter import NOT_OWNED, Limiter, TokenGrant
 from ..workspaces.quotas import Refusal, shortest
 from ..workspaces.shares import ShareOwners
 from ..workspaces.token_cache import TokenCache
@@ -84,7 +84,7 @@
 
     async def _ask(
         self, host: HostName, workspace: Workspace, share: int, begins: bool
-    ) -> Tokens:
+    ) -> TokenGrant:
         count = self._token_cache.wanted(workspace)
         if host == self._own:
             return self._limiter.take(workspace, share, count, begins=begins)
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/windows.py
@@ -10,7 +10,7 @@
 from ...ids import DataCentre, HostName, Workspace
 from ...workspaces.directory import RateLimit
 from ...workspaces.host_lease import HostLease
-from ...workspaces.limiter import Limiter, Tokens
+from ...workspaces.limiter import Limiter, TokenGrant
 from ...workspaces.shares import ShareOwners
 from ...workspaces.sliding_window import SHARES, QuotaBounds
 from ...workspaces.token_cache import TokenCache
@@ -108,7 +108,7 @@
         self.fleet.sending.append((held, self))
         return True
 
-    def answer(self, share: int, count: int, begins: bool) -> Tokens:
+    def answer(self, share: int, count: int, begins: bool) -> TokenGrant:
         """Answer another process, or the own one."""
         if self.fleet.plants.starts_full:
             self._fill()
--- a/sequoiaarch/wire/messages.py
+++ b/sequoiaarch/wire/messages.py
@@ -42,7 +42,7 @@
     ShardRecord,
 )
 from ..storage.calls import StoreCall, StoreReply
-from ..workspaces.limiter import Tokens
+from ..workspaces.limiter import TokenGrant
 
 
 class Message(msgspec.Struct, frozen=True, kw_only=True, tag_field="t"):
@@ -518,7 +518,7 @@
 class TokensTaken(Message, frozen=True, kw_only=True, tag="tokens"):
     """Hand out tokens, or say why not."""
 
-    tokens: Tokens
+    tokens: TokenGrant
 
 
 class Accepted(Message, frozen=True, kw_only=True, tag="accepted"):
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -18,7 +18,7 @@
 REFUSED_SPAN = 1.0
 
 
-class Tokens(msgspec.Struct, frozen=True, kw_only=True):
+class TokenGrant(msgspec.Struct, frozen=True, kw_only=True):
     """Answer who asked for tokens of a share.
 
     `wait` says after how many seconds to come back where there are none; it is None
@@ -29,7 +29,7 @@
     wait: float | None = None
 
 
-NOT_OWNED = Tokens()
+NOT_OWNED = TokenGrant()
 
 
 @dataclass(kw_only=True, eq=False)
@@ -70,7 +70,7 @@
 
     def take(
         self, workspace: Workspace, share: int, count: int, *, begins: bool
-    ) -> Tokens:
+    ) -> TokenGrant:
         """Hand out some of the tokens that are asked for, or say when to come back."""
         found = self._share(workspace, share)
         if found is None:
@@ -78,9 +78,9 @@
         now = self._clock()
         taken = found.count.take(count, now, begins=begins)
         if taken:
-            return Tokens(count=taken)
+            return TokenGrant(count=taken)
         wait = found.count.wait(now, begins=begins)
-        return Tokens(wait=wait + self._spread(found, now))
+        return TokenGrant(wait=wait + self._spread(found, now))
 
     def drop_unowned(self) -> None:
         """Forget shares that passed to another process."""
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -13,7 +13,7 @@
 from ..routing.follower import boot_time
 from .access import Caller
 from .directory import RateLimit
-from .limiter import Limiter, Tokens
+from .limiter import Limiter, TokenGrant
 from .sliding_window import SHARES, QuotaBounds
 from .token_cache import TokenCache
 
@@ -158,7 +158,7 @@
     return fail(ErrorKind.LIMIT_UNKNOWN, reason, retry_after=refusal.wait)
 
 
-def shortest(answers: list[Tokens]) -> Refusal:
+def shortest(answers: list[TokenGrant]) -> Refusal:
     """Return the refusal that follows from the answers of all keepers."""
     waits = [one.wait for one in answers if one.wait is not None]
     if not waits:
