--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -6,7 +6,7 @@
 from ..wire.messages import Reply, TakeTokens, TokensTaken
 from ..workspaces.access import Caller
 from ..workspaces.limiter import NOT_OWNED, Limiter, TokenGrant
-from ..workspaces.quotas import Refusal, shortest
+from ..workspaces.quotas import Refusal, combined_refusal
 from ..workspaces.shares import ShareOwners
 from ..workspaces.token_cache import TokenCache
 from .peers import Peers
@@ -54,7 +54,7 @@
             if found.count:
                 return self._token_cache.put(workspace, found.count - 1, asked=asked)
             answers.append(found)
-        refusal = shortest(answers)
+        refusal = combined_refusal(answers)
         if refusal.kept:
             self._token_cache.refuse(workspace, refusal.wait, begins=begins)
         return refusal
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -158,7 +158,7 @@
     return fail(ErrorKind.LIMIT_UNKNOWN, reason, retry_after=refusal.wait)
 
 
-def shortest(answers: list[TokenGrant]) -> Refusal:
+def combined_refusal(answers: list[TokenGrant]) -> Refusal:
     """Return the refusal that follows from the answers of all keepers."""
     waits = [one.wait for one in answers if one.wait is not None]
     if not waits:
