--- a/sequoiaarch/gateway/requests.py
+++ b/sequoiaarch/gateway/requests.py
@@ -130,7 +130,7 @@
         caller = self._caller(request)
         if caller.limit is not None:
             with self._lock:
-                found = self._quotas.take_here(caller)
+                found = self._quotas.take_nowait(caller)
             if isinstance(found, Refusal):
                 raise quota_failure(caller, found)
         return caller.workspace or ANONYMOUS
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -50,9 +50,9 @@
 
     async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
         """Take a token of any share."""
-        return self.take_here(caller, begins=begins)
+        return self.take_nowait(caller, begins=begins)
 
-    def take_here(self, caller: Caller, *, begins: bool = False) -> float | Refusal:
+    def take_nowait(self, caller: Caller, *, begins: bool = False) -> float | Refusal:
         """Take a token of any share, which needs no wait."""
         workspace = caller.workspace
         assert workspace is not None
