--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -11,7 +11,7 @@
 from ..policies.health import TargetHealth, first_event_due
 from ..policies.retries import RetryBudget, RetryPolicy, patience
 from ..policies.starts import Start, StartPolicy, WaitByAim
-from ..policies.urgency import ProgramStanding, Urgency, WorthUrgency
+from ..policies.urgency import DeadlineUrgency, ProgramStanding, Urgency
 from ..routing.routes import Route, RouteTable
 from ..routing.targets import TargetEntry, Targets
 from ..storage.relayed import Way
@@ -50,7 +50,7 @@
         self._engines = engines
         self._memory = memory
         self._plain = plain
-        self._urgency: Urgency = WorthUrgency()
+        self._urgency: Urgency = DeadlineUrgency()
         self._starts: StartPolicy = WaitByAim(rng=rng)
         self._rng = rng
         # Requests on connections that a target still holds would be lost with it.
--- a/sequoiaarch/policies/urgency.py
+++ b/sequoiaarch/policies/urgency.py
@@ -44,7 +44,7 @@
         return min(standing.rank, LAST)
 
 
-class WorthUrgency:
+class DeadlineUrgency:
     """Put programs behind that can no longer end in time, or not at all.
 
     After an outage engines are full of programs that are late already. Served
--- a/sequoiaarch/tests/policies/worst_load_tests.py
+++ b/sequoiaarch/tests/policies/worst_load_tests.py
@@ -27,7 +27,7 @@
     StartPolicy,
     WaitByAim,
 )
-from ...policies.urgency import ProgramStanding, RankUrgency, WorthUrgency
+from ...policies.urgency import DeadlineUrgency, ProgramStanding, RankUrgency
 
 PROCESSES = 8
 ENGINES = 3
@@ -292,7 +292,7 @@
 
     def test_late_programs_go_behind(self) -> None:
         """Let programs that can end in time go before those that can't."""
-        order = WorthUrgency()
+        order = DeadlineUrgency()
         in_time = order.of(ProgramStanding(rank=1, left=0.4))
         late = order.of(ProgramStanding(rank=0, left=0.0))
         spent = order.of(ProgramStanding(rank=0, left=3.0, spent=0.8))
@@ -302,7 +302,7 @@
     def test_ranks_interrupt_nobody(self) -> None:
         """Give programs in time one place; by rank alone they interrupt."""
         ranks = [ProgramStanding(rank=rank, left=1.0) for rank in (0, 1)]
-        self.assertEqual(len({WorthUrgency().of(one) for one in ranks}), 1)
+        self.assertEqual(len({DeadlineUrgency().of(one) for one in ranks}), 1)
         self.assertEqual(len({RankUrgency().of(one) for one in ranks}), 2)
 
 
