--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -11,7 +11,7 @@
 from ..policies.health import TargetHealth, first_event_due
 from ..policies.retries import RetryBudget, RetryPolicy, patience
 from ..policies.starts import Start, StartPolicy, WaitByAim
-from ..policies.urgency import DeadlineUrgency, ProgramStanding, Urgency
+from ..policies.urgency import DeadlineUrgency, ProgramProgress, Urgency
 from ..routing.routes import Route, RouteTable
 from ..routing.targets import TargetEntry, Targets
 from ..storage.relayed import Way
@@ -133,8 +133,8 @@
         """Return the urgency of a request at an engine; None for others."""
         if not route.sticky:
             return None
-        standing = ProgramStanding(rank=rank, left=info.program_deadline, spent=spent)
-        return self._urgency.of(standing)
+        progress = ProgramProgress(rank=rank, left=info.program_deadline, spent=spent)
+        return self._urgency.of(progress)
 
     def _service(self, route: Route) -> ServiceName:
         if len(route.services) == 1:
--- a/sequoiaarch/policies/urgency.py
+++ b/sequoiaarch/policies/urgency.py
@@ -17,7 +17,7 @@
 SPENT_SHARE = 0.5
 
 
-class ProgramStanding(msgspec.Struct, frozen=True, kw_only=True):
+class ProgramProgress(msgspec.Struct, frozen=True, kw_only=True):
     """Say how a program stands; `left` is the time to its aim, in seconds.
 
     Rank 0 is the most urgent kind of program, `spent` the share of its budget
@@ -32,16 +32,16 @@
 class Urgency(Protocol):
     """Give a request its urgency at an engine."""
 
-    def of(self, standing: ProgramStanding) -> int:
+    def of(self, progress: ProgramProgress) -> int:
         """Return the urgency, 0 first and 9 last."""
 
 
 class RankUrgency:
     """Go by the rank of the route alone."""
 
-    def of(self, standing: ProgramStanding) -> int:
+    def of(self, progress: ProgramProgress) -> int:
         """Return the rank."""
-        return min(standing.rank, LAST)
+        return min(progress.rank, LAST)
 
 
 class DeadlineUrgency:
@@ -54,10 +54,10 @@
     read again, and equal ones 5 to 60.
     """
 
-    def of(self, standing: ProgramStanding) -> int:
+    def of(self, progress: ProgramProgress) -> int:
         """Return one of three places."""
-        if standing.spent > SPENT_SHARE:
+        if progress.spent > SPENT_SHARE:
             return LAST
-        if standing.left is not None and standing.left <= 0:
+        if progress.left is not None and progress.left <= 0:
             return LATE
         return FIRST
--- a/sequoiaarch/tests/policies/worst_load_tests.py
+++ b/sequoiaarch/tests/policies/worst_load_tests.py
@@ -27,7 +27,7 @@
     StartPolicy,
     WaitByAim,
 )
-from ...policies.urgency import DeadlineUrgency, ProgramStanding, RankUrgency
+from ...policies.urgency import DeadlineUrgency, ProgramProgress, RankUrgency
 
 PROCESSES = 8
 ENGINES = 3
@@ -293,15 +293,15 @@
     def test_late_programs_go_behind(self) -> None:
         """Let programs that can end in time go before those that can't."""
         order = DeadlineUrgency()
-        in_time = order.of(ProgramStanding(rank=1, left=0.4))
-        late = order.of(ProgramStanding(rank=0, left=0.0))
-        spent = order.of(ProgramStanding(rank=0, left=3.0, spent=0.8))
+        in_time = order.of(ProgramProgress(rank=1, left=0.4))
+        late = order.of(ProgramProgress(rank=0, left=0.0))
+        spent = order.of(ProgramProgress(rank=0, left=3.0, spent=0.8))
         self.assertLess(in_time, late)
         self.assertLess(late, spent)
 
     def test_ranks_interrupt_nobody(self) -> None:
         """Give programs in time one place; by rank alone they interrupt."""
-        ranks = [ProgramStanding(rank=rank, left=1.0) for rank in (0, 1)]
+        ranks = [ProgramProgress(rank=rank, left=1.0) for rank in (0, 1)]
         self.assertEqual(len({DeadlineUrgency().of(one) for one in ranks}), 1)
         self.assertEqual(len({RankUrgency().of(one) for one in ranks}), 2)
 
