--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -10,7 +10,7 @@
 from ..policies.engines import EngineChoice, EnginePlacement, PrefixMemory, PromptShape
 from ..policies.health import TargetHealth, first_event_due
 from ..policies.retries import RetryBudget, RetryPolicy, patience
-from ..policies.starts import Start, StartPolicy, WaitByAim
+from ..policies.starts import DeadlineBoundedWait, Start, StartPolicy
 from ..policies.urgency import DeadlineUrgency, ProgramProgress, Urgency
 from ..routing.routes import Route, RouteTable
 from ..routing.targets import TargetEntry, Targets
@@ -51,7 +51,7 @@
         self._memory = memory
         self._plain = plain
         self._urgency: Urgency = DeadlineUrgency()
-        self._starts: StartPolicy = WaitByAim(rng=rng)
+        self._starts: StartPolicy = DeadlineBoundedWait(rng=rng)
         self._rng = rng
         # Requests on connections that a target still holds would be lost with it.
         # On new ones they go on to the next target if it does not answer.
--- a/sequoiaarch/policies/starts.py
+++ b/sequoiaarch/policies/starts.py
@@ -70,7 +70,7 @@
         return self._rng.uniform(RETURN_SOONEST, RETURN_LATEST)
 
 
-class WaitByAim:
+class DeadlineBoundedWait:
     """Refuse new programs whose turns would wait for longer than their aim bears.
 
     Answers a burst on engines that are full for seconds: programs of many turns
--- a/sequoiaarch/tests/policies/worst_load_tests.py
+++ b/sequoiaarch/tests/policies/worst_load_tests.py
@@ -22,10 +22,10 @@
     RETURN_SOONEST,
     WAIT_LIMIT,
     BoundedWait,
+    DeadlineBoundedWait,
     OpenStarts,
     Start,
     StartPolicy,
-    WaitByAim,
 )
 from ...policies.urgency import DeadlineUrgency, ProgramProgress, RankUrgency
 
@@ -332,7 +332,7 @@
         """
         for seed in range(4):
             rng = random.Random(seed)
-            by_aim = ended_in_time(WaitByAim(rng=rng), seed)
+            by_aim = ended_in_time(DeadlineBoundedWait(rng=rng), seed)
             fixed = ended_in_time(BoundedWait(rng=rng), seed)
             opened = ended_in_time(OpenStarts(), seed)
             self.assertGreater(by_aim, fixed)
@@ -340,6 +340,6 @@
 
     def test_no_aim(self) -> None:
         """Bear the usual wait where a program names no aim."""
-        policy = WaitByAim(rng=random.Random(3))
+        policy = DeadlineBoundedWait(rng=random.Random(3))
         self.assertIsNone(policy.refuse(Start(wait=WAIT_LIMIT)))
         self.assertIsNotNone(policy.refuse(Start(wait=1.01 * WAIT_LIMIT)))
