--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -9,7 +9,7 @@
 from ..ids import DataCentre, InstanceId, ServiceName
 from ..policies.engines import EngineChoice, EnginePlacement, PrefixMemory, PromptShape
 from ..policies.health import TargetHealth, first_event_due
-from ..policies.retries import RetryBudget, RetryPolicy, patience
+from ..policies.retries import RetryBudget, RetryPolicy, attempt_timeout
 from ..policies.starts import DeadlineBoundedWait, Start, StartPolicy
 from ..policies.urgency import DeadlineUrgency, ProgramProgress, Urgency
 from ..routing.routes import Route, RouteTable
@@ -93,7 +93,7 @@
     ) -> None:
         """Note that a target owes a request its answer, or the first event of it."""
         if not route.sticky:
-            within = patience(route.latency_target)
+            within = attempt_timeout(route.latency_target)
             self.load.expects(entry.incarnation, request, within)
             return
         shape = _shape(info)
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -13,7 +13,7 @@
 from ..ledger.terms import BudgetVerdict, Lookup, TurnStart, TurnTerms
 from ..ledger.turns import OpenTurn, TurnRefusal, Turns
 from ..observe.request_metrics import RequestMetrics
-from ..policies.retries import patience
+from ..policies.retries import attempt_timeout
 from ..routing.routes import Route, RouteKind
 from ..workspaces.access import Caller
 from ..workspaces.directory import scoped
@@ -179,7 +179,7 @@
         """
         if self._route.kind is not RouteKind.SAFE or self._attempts.last:
             return None
-        return patience(self._route.latency_target)
+        return attempt_timeout(self._route.latency_target)
 
     async def _whole_answer(self) -> tuple[Running, bytes]:
         running = await self._attempts.open()
--- a/sequoiaarch/policies/retries.py
+++ b/sequoiaarch/policies/retries.py
@@ -10,7 +10,7 @@
 RETRY_BURST = 10.0
 # An idempotent request whose answer takes this many times the route's target
 # is sent to another target; its first one has likely lost it.
-PATIENCE_FACTOR = 2.5
+ATTEMPT_TIMEOUT_FACTOR = 2.5
 
 
 class RetryPolicy(Protocol):
@@ -41,6 +41,6 @@
         return True
 
 
-def patience(latency_target: float) -> float:
+def attempt_timeout(latency_target: float) -> float:
     """Return the seconds to wait for an answer before another target is asked."""
-    return PATIENCE_FACTOR * latency_target
+    return ATTEMPT_TIMEOUT_FACTOR * latency_target
