--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -154,7 +154,7 @@
 
     async def _plain(self) -> None:
         """Pass on an answer once it is whole."""
-        self._dispatcher.retries.began()
+        self._dispatcher.retries.request_started()
         while True:
             try:
                 async with asyncio.timeout(self._patience()):
--- a/sequoiaarch/policies/retries.py
+++ b/sequoiaarch/policies/retries.py
@@ -16,7 +16,7 @@
 class RetryPolicy(Protocol):
     """Decide whether a request may be sent once more."""
 
-    def began(self) -> None:
+    def request_started(self) -> None:
         """Note a request that is sent for the first time."""
 
     def take(self) -> bool:
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self._tokens = RETRY_BURST
 
-    def began(self) -> None:
+    def request_started(self) -> None:
         """Note a request that is sent for the first time."""
         self._tokens = min(RETRY_BURST, self._tokens + RETRY_SHARE)
 
