--- a/sequoiaarch/fleet/target_reports.py
+++ b/sequoiaarch/fleet/target_reports.py
@@ -40,7 +40,9 @@
     def take(self, report: TargetReport) -> Reply:
         """Take over what a neighbour saw."""
         now = asyncio.get_running_loop().time()
-        self._health.told(report.instance, report.host, ok=report.ok, now=now)
+        self._health.report_received(
+            report.instance, report.host, ok=report.ok, now=now
+        )
         return Accepted()
 
     def place(self, name: str) -> int:
--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -63,7 +63,7 @@
 
     def started(self, instance: InstanceId) -> None:
         """Count a request that was sent."""
-        self._health.sent(instance, asyncio.get_running_loop().time())
+        self._health.request_sent(instance, asyncio.get_running_loop().time())
         self._instances[instance].running += 1
 
     def ended(self, instance: InstanceId) -> None:
@@ -102,7 +102,7 @@
     def heard(self, instance: InstanceId, request: object) -> None:
         """Note that a target sent what it owed for a request."""
         self._instances[instance].due.pop(request, None)
-        self._health.heard(instance, asyncio.get_running_loop().time())
+        self._health.response_received(instance, asyncio.get_running_loop().time())
 
     async def watch(self) -> None:
         """Judge targets that owe something for too long, again and again.
@@ -156,14 +156,14 @@
         """Learn whether a target answered a request soundly."""
         now = asyncio.get_running_loop().time()
         if ok:
-            self._health.heard(instance, now)
-        judge = self._health.served if ok else self._health.failed
+            self._health.response_received(instance, now)
+        judge = self._health.request_succeeded if ok else self._health.request_failed
         if judge(instance, now):
             self.report(instance, ok)
 
     def failing(self, instance: InstanceId) -> float:
         """Return the share of requests that may fail at a target."""
-        return self._health.failing(instance, asyncio.get_running_loop().time())
+        return self._health.failure_rate(instance, asyncio.get_running_loop().time())
 
     def forget(self, instance: InstanceId) -> None:
         """Forget a target that has left, once nothing runs there."""
--- a/sequoiaarch/policies/health.py
+++ b/sequoiaarch/policies/health.py
@@ -89,7 +89,7 @@
         self.passed_over: Callable[[InstanceId], None] = lambda instance: None
         self._records: dict[InstanceId, _Record] = {}
 
-    def failed(self, instance: InstanceId, now: float) -> bool:
+    def request_failed(self, instance: InstanceId, now: float) -> bool:
         """Note that an own request failed; return whether to report it."""
         record = self._record(instance)
         record.judged, record.failing = now, self._judge(record, now, 1.0)
@@ -99,7 +99,7 @@
         record.reported = now
         return True
 
-    def served(self, instance: InstanceId, now: float) -> bool:
+    def request_succeeded(self, instance: InstanceId, now: float) -> bool:
         """Note that an own request was answered; return whether to report it."""
         record = self._records.get(instance)
         if record is None:
@@ -110,7 +110,7 @@
         self._recovered(instance, record)
         return True
 
-    def told(
+    def report_received(
         self, instance: InstanceId, host: HostName, *, ok: bool, now: float
     ) -> None:
         """Take over what another host saw."""
@@ -121,17 +121,17 @@
         elif record.on_trial:
             self._recovered(instance, record)
 
-    def heard(self, instance: InstanceId, now: float) -> None:
+    def response_received(self, instance: InstanceId, now: float) -> None:
         """Note that a target sent something sound to this host."""
         self._record(instance).heard = now
 
-    def sent(self, instance: InstanceId, now: float) -> None:
+    def request_sent(self, instance: InstanceId, now: float) -> None:
         """Note that a request goes to a target."""
         record = self._records.get(instance)
         if record is not None and record.on_trial:
             record.trial_until = now + TRIAL_SECONDS
 
-    def failing(self, instance: InstanceId, now: float) -> float:
+    def failure_rate(self, instance: InstanceId, now: float) -> float:
         """Return the share of requests that may fail at a target."""
         record = self._records.get(instance)
         if record is None:
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -60,13 +60,13 @@
     def fail(self) -> None:
         """Have a request to the target fail here."""
         now = asyncio.get_running_loop().time()
-        if self.health.failed(TARGET, now):
+        if self.health.request_failed(TARGET, now):
             self.reports.tell(TARGET, False)
 
     def passes_over(self) -> bool:
         """Return whether requests avoid the target here."""
         now = asyncio.get_running_loop().time()
-        return self.health.failing(TARGET, now) == PASSED_OVER
+        return self.health.failure_rate(TARGET, now) == PASSED_OVER
 
 
 class TargetReportsTests(unittest.IsolatedAsyncioTestCase):
@@ -135,8 +135,8 @@
         await self.until_heard("c", 2)
         caught = self.hosts["a"]
         later = asyncio.get_running_loop().time() + 60
-        self.assertTrue(caught.health.served(TARGET, later))
+        self.assertTrue(caught.health.request_succeeded(TARGET, later))
         caught.reports.tell(TARGET, True)
         await self.until_heard("c", 3)
         self.assertFalse(self.hosts["c"].passes_over())
-        self.assertFalse(caught.health.served(TARGET, later + 1))
+        self.assertFalse(caught.health.request_succeeded(TARGET, later + 1))
--- a/sequoiaarch/tests/ingress/load_tests.py
+++ b/sequoiaarch/tests/ingress/load_tests.py
@@ -47,7 +47,7 @@
         self.assertEqual(self.told, [])
         self.passes(0.15)
         self.assertEqual(self.told, [False])
-        self.health.told(TARGET, OTHER, ok=False, now=self.now)
+        self.health.report_received(TARGET, OTHER, ok=False, now=self.now)
         self.assertEqual(self.board.failing(TARGET), PASSED_OVER)
         self.passes(5.0)
         self.assertEqual(self.told, [False], "one silence is told once")
@@ -92,7 +92,7 @@
         """Stay with a target that answers here while others say that it fails."""
         for host in ("a", "b", "c"):
             self.board.heard(TARGET, "request")
-            self.health.told(TARGET, HostName(host), ok=False, now=self.now)
+            self.health.report_received(TARGET, HostName(host), ok=False, now=self.now)
             self.assertEqual(self.board.failing(TARGET), 0.0)
 
 
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -46,7 +46,7 @@
             slots=SLOTS,
             running=0,
             near=name == NEAR,
-            failing=health.failing(name, now),
+            failing=health.failure_rate(name, now),
         )
         for name in (NEAR, FAR)
     ]
@@ -86,7 +86,7 @@
             number = rng.randrange(self.hosts)
             health = self.healths[number]
             chosen, _ = policy.choose(PromptShape(parts=()), _choices(health, now))
-            health.sent(chosen, now)
+            health.request_sent(chosen, now)
             if chosen is not NEAR:
                 continue
             self.near.append(now)
@@ -102,10 +102,14 @@
                 if other != number:
                     self.messages += 1
                     host = HostName(f"h{number}")
-                    self.healths[other].told(NEAR, host, ok=ok, now=at)
+                    self.healths[other].report_received(NEAR, host, ok=ok, now=at)
             return
         health = self.healths[number]
-        tell = health.served(NEAR, at) if ok else health.failed(NEAR, at)
+        tell = (
+            health.request_succeeded(NEAR, at)
+            if ok
+            else health.request_failed(NEAR, at)
+        )
         if tell and self.shares:
             told = at + REPORT_SECONDS
             heapq.heappush(events, (told, next(order), number, ok, True))
@@ -167,22 +171,22 @@
         health = TargetHealth(own=HostName("well"))
         for step in range(100):
             now = step * 0.2
-            health.told(NEAR, HostName("bad"), ok=False, now=now)
-            self.assertEqual(health.failing(NEAR, now), 0.0)
+            health.report_received(NEAR, HostName("bad"), ok=False, now=now)
+            self.assertEqual(health.failure_rate(NEAR, now), 0.0)
 
     def test_failures_that_lie_apart_are_no_outage(self) -> None:
         """Stay with a target that loses an answer now and then, to any host."""
         health = TargetHealth(own=HostName("own"))
         for step in range(20):
             now = step * (REPORT_WINDOW + 0.1)
-            health.told(NEAR, HostName(f"h{step}"), ok=False, now=now)
-            self.assertEqual(health.failing(NEAR, now), 0.0)
+            health.report_received(NEAR, HostName(f"h{step}"), ok=False, now=now)
+            self.assertEqual(health.failure_rate(NEAR, now), 0.0)
 
     def test_no_service_is_emptied(self) -> None:
         """Use a target although all of a service are accused."""
         health = TargetHealth(own=HostName("own"))
         for name, host in itertools.product((NEAR, FAR), ("a", "b", "c")):
-            health.told(name, HostName(host), ok=False, now=0.0)
+            health.report_received(name, HostName(host), ok=False, now=0.0)
         policy = NearestFree(rng=random.Random(1))
         chosen, _ = policy.choose(PromptShape(parts=()), _choices(health, 0.1))
         self.assertEqual(chosen, NEAR)
@@ -193,14 +197,14 @@
         health = TargetHealth(own=HostName("own"))
         health.passed_over = closed.append
         for host in ("a", "b", "c"):
-            health.told(NEAR, HostName(host), ok=False, now=0.0)
+            health.report_received(NEAR, HostName(host), ok=False, now=0.0)
         self.assertEqual(closed, [NEAR])
 
     def test_memory_is_bounded(self) -> None:
         """Forget old targets where reports of ever new ones arrive."""
         health = TargetHealth(own=HostName("own"))
         for number in range(MOST_RECORDS + 10):
-            health.heard(InstanceId(f"i-{number}"), float(number))
+            health.response_received(InstanceId(f"i-{number}"), float(number))
         self.assertEqual(len(health._records), MOST_RECORDS)
 
     def test_pauses_grow_while_a_target_fails_and_end_with_an_answer(self) -> None:
@@ -208,12 +212,12 @@
         health = TargetHealth(own=HostName("own"))
         now = 0.0
         for host in ("a", "b"):
-            health.told(NEAR, HostName(host), ok=False, now=now)
+            health.report_received(NEAR, HostName(host), ok=False, now=now)
         for pause in (PASS_OVER, 2 * PASS_OVER, 4 * PASS_OVER, PASS_OVER_LIMIT):
-            self.assertEqual(health.failing(NEAR, now + pause - 0.01), 1.0)
+            self.assertEqual(health.failure_rate(NEAR, now + pause - 0.01), 1.0)
             now += pause
-            self.assertLess(health.failing(NEAR, now), 1.0)
-            health.failed(NEAR, now)
+            self.assertLess(health.failure_rate(NEAR, now), 1.0)
+            health.request_failed(NEAR, now)
         now += PASS_OVER_LIMIT
-        self.assertTrue(health.served(NEAR, now))
-        self.assertLess(health.failing(NEAR, now), 1.0)
+        self.assertTrue(health.request_succeeded(NEAR, now))
+        self.assertLess(health.failure_rate(NEAR, now), 1.0)
