--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -55,7 +55,7 @@
         self._rng = rng
         # Requests on connections that a target still holds would be lost with it.
         # On new ones they go on to the next target if it does not answer.
-        health.passed_over = self.pool.forget
+        health.on_ejected = self.pool.forget
 
     def choose(
         self, route: Route, info: CallInfo, tried: set[InstanceId]
--- a/sequoiaarch/policies/health.py
+++ b/sequoiaarch/policies/health.py
@@ -38,7 +38,7 @@
 # What a host heard of a target itself so lately counts more than what others
 # report: they may be cut off from a target that others reach. Seconds.
 OWN_WORD = 0.2
-PASSED_OVER = 1.0
+EJECTED = 1.0
 # Targets come and go for as long as a process runs, and reports of one may arrive
 # after it has left. What was learned first goes first.
 MOST_RECORDS = 4096
@@ -86,7 +86,7 @@
         self._own = own
         self._place = place
         # Called when a target is passed over.
-        self.passed_over: Callable[[InstanceId], None] = lambda instance: None
+        self.on_ejected: Callable[[InstanceId], None] = lambda instance: None
         self._records: dict[InstanceId, _Record] = {}
 
     def request_failed(self, instance: InstanceId, now: float) -> bool:
@@ -137,7 +137,7 @@
         if record is None:
             return 0.0
         if record.on_trial and now < max(record.turn, record.trial_until):
-            return PASSED_OVER
+            return EJECTED
         return _faded(record, now)
 
     def forget(self, instance: InstanceId) -> None:
@@ -180,7 +180,7 @@
             f"{instance}/{record.times}"
         )
         record.reports.clear()
-        self.passed_over(instance)
+        self.on_ejected(instance)
         log.info(
             "target {} is passed over for {:.1f} s: {} hosts saw it fail in {} s",
             instance,
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -12,7 +12,7 @@
 from ...fleet.peers import PeerRecord, Peers, PeerServer
 from ...fleet.target_reports import TargetReports
 from ...ids import DataCentre, HostName, InstanceId
-from ...policies.health import PASSED_OVER, TargetHealth
+from ...policies.health import EJECTED, TargetHealth
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, TargetReport
@@ -66,7 +66,7 @@
     def passes_over(self) -> bool:
         """Return whether requests avoid the target here."""
         now = asyncio.get_running_loop().time()
-        return self.health.failure_rate(TARGET, now) == PASSED_OVER
+        return self.health.failure_rate(TARGET, now) == EJECTED
 
 
 class TargetReportsTests(unittest.IsolatedAsyncioTestCase):
--- a/sequoiaarch/tests/ingress/load_tests.py
+++ b/sequoiaarch/tests/ingress/load_tests.py
@@ -8,7 +8,7 @@
 
 from ...ids import HostName, InstanceId
 from ...ingress.load import SILENCE_CHECK, LoadBoard
-from ...policies.health import PASSED_OVER, TargetHealth, first_event_due
+from ...policies.health import EJECTED, TargetHealth, first_event_due
 
 TARGET = InstanceId("target")
 OTHER = HostName("other")
@@ -48,7 +48,7 @@
         self.passes(0.15)
         self.assertEqual(self.told, [False])
         self.health.report_received(TARGET, OTHER, ok=False, now=self.now)
-        self.assertEqual(self.board.failing(TARGET), PASSED_OVER)
+        self.assertEqual(self.board.failing(TARGET), EJECTED)
         self.passes(5.0)
         self.assertEqual(self.told, [False], "one silence is told once")
 
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -195,7 +195,7 @@
         """Say once that a target is passed over, for what is kept open to it."""
         closed: list[InstanceId] = []
         health = TargetHealth(own=HostName("own"))
-        health.passed_over = closed.append
+        health.on_ejected = closed.append
         for host in ("a", "b", "c"):
             health.report_received(NEAR, HostName(host), ok=False, now=0.0)
         self.assertEqual(closed, [NEAR])
