--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -26,7 +26,7 @@
 from ..ledger.turns import LocalTurns, Turns
 from ..observe.events import EventLog
 from ..observe.request_metrics import RequestMetrics
-from ..policies.engines import NearestFree, PrefixMemory, PrefixPlacement
+from ..policies.engines import NearestFree, PrefixIndex, PrefixPlacement
 from ..policies.health import TargetHealth
 from ..routing.follower import TopicFollower
 from ..routing.registrations import Registrations
@@ -106,15 +106,15 @@
             processes=lambda: 1 + (len(peers) if peers is not None else 0),
             rng=rng,
         )
-        memory = PrefixMemory()
+        prefix_index = PrefixIndex()
         health = TargetHealth(own=options.host, place=self._place)
         access = Access(limit=options.key_age_limit)
         self.dispatcher = Dispatcher(
             codec=codec,
             data_centre=options.data_centre,
             targets=self.targets,
-            engines=PrefixPlacement(memory=memory, rng=rng),
-            memory=memory,
+            engines=PrefixPlacement(prefix_index=prefix_index, rng=rng),
+            prefix_index=prefix_index,
             plain=NearestFree(rng=rng),
             health=health,
             access=access,
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from ..ids import DataCentre, InstanceId, ServiceName
-from ..policies.engines import EngineChoice, EnginePlacement, PrefixMemory, PromptShape
+from ..policies.engines import EngineChoice, EnginePlacement, PrefixIndex, PromptShape
 from ..policies.health import TargetHealth, first_event_due
 from ..policies.retries import RetryBudget, RetryPolicy, attempt_timeout
 from ..policies.starts import DeadlineBoundedWait, Start, StartPolicy
@@ -31,7 +31,7 @@
         data_centre: DataCentre,
         targets: Targets,
         engines: EnginePlacement,
-        memory: PrefixMemory,
+        prefix_index: PrefixIndex,
         plain: EnginePlacement,
         health: TargetHealth,
         access: Access,
@@ -48,7 +48,7 @@
         self._data_centre = data_centre
         self._targets = targets
         self._engines = engines
-        self._memory = memory
+        self._prefix_index = prefix_index
         self._plain = plain
         self._urgency: Urgency = DeadlineUrgency()
         self._starts: StartPolicy = DeadlineBoundedWait(rng=rng)
@@ -97,8 +97,8 @@
             self.load.expects(entry.incarnation, request, within)
             return
         shape = _shape(info)
-        reading = self._memory.reading(entry.incarnation, shape)
-        self._memory.note(entry.incarnation, shape)
+        reading = self._prefix_index.prefill_seconds(entry.incarnation, shape)
+        self._prefix_index.record(entry.incarnation, shape)
         self.load.awaits_first(entry.incarnation, request, reading)
         within = reading + first_event_due(route.latency_target, self.load.longest)
         self.load.expects(entry.incarnation, request, within)
@@ -110,7 +110,7 @@
         """
         self.load.forget(instance)
         self.pool.forget(instance)
-        self._memory.forget(instance)
+        self._prefix_index.forget(instance)
 
     def store_reached(self) -> bool:
         """Return whether the store served this process lately, by any way."""
--- a/sequoiaarch/policies/engines.py
+++ b/sequoiaarch/policies/engines.py
@@ -120,13 +120,13 @@
         return best.instance, f"running={best.running}"
 
 
-class PrefixMemory:
+class PrefixIndex:
     """Remember which parts of prompts each instance has read lately."""
 
     def __init__(self) -> None:
         self._parts: dict[InstanceId, OrderedDict[str, None]] = {}
 
-    def note(self, instance: InstanceId, shape: PromptShape) -> None:
+    def record(self, instance: InstanceId, shape: PromptShape) -> None:
         """Remember that an instance has read a prompt."""
         kept = self._parts.setdefault(instance, OrderedDict())
         for part, _ in shape.parts:
@@ -135,11 +135,11 @@
         while len(kept) > PARTS_KEPT:
             kept.popitem(last=False)
 
-    def reading(self, instance: InstanceId, shape: PromptShape) -> float:
+    def prefill_seconds(self, instance: InstanceId, shape: PromptShape) -> float:
         """Return the seconds that the instance would read the prompt."""
-        return self.unread(instance, shape) / PREFILL_RATE
+        return self.uncached_tokens(instance, shape) / PREFILL_RATE
 
-    def unread(self, instance: InstanceId, shape: PromptShape) -> int:
+    def uncached_tokens(self, instance: InstanceId, shape: PromptShape) -> int:
         """Return the tokens that the instance would have to read."""
         kept = self._parts.get(instance, OrderedDict())
         total = sum(tokens for _, tokens in shape.parts)
@@ -167,8 +167,8 @@
     the wait at home costs more than reading the prompt again.
     """
 
-    def __init__(self, *, memory: PrefixMemory, rng: random.Random) -> None:
-        self._memory = memory
+    def __init__(self, *, prefix_index: PrefixIndex, rng: random.Random) -> None:
+        self._prefix_index = prefix_index
         self._rng = rng
 
     def choose(
@@ -190,7 +190,7 @@
         cost = one.wait + one.running * SHARE_SECONDS
         if one.instance != home:
             factor = 1.0 if home is None else HOME_FACTOR
-            cost += factor * self._memory.reading(one.instance, shape)
+            cost += factor * self._prefix_index.prefill_seconds(one.instance, shape)
         return cost if one.near else cost + DISTANCE_SECONDS
 
 
--- a/sequoiaarch/tests/policies/worst_load_tests.py
+++ b/sequoiaarch/tests/policies/worst_load_tests.py
@@ -13,7 +13,7 @@
     EnginePlacement,
     LeastRunning,
     NearestFree,
-    PrefixMemory,
+    PrefixIndex,
     PrefixPlacement,
     PromptShape,
 )
@@ -144,7 +144,7 @@
             rng = random.Random(seed)
             naive: list[EnginePlacement] = [LeastRunning(rng=rng)] * PROCESSES
             ours: list[EnginePlacement] = [
-                PrefixPlacement(memory=PrefixMemory(), rng=rng)
+                PrefixPlacement(prefix_index=PrefixIndex(), rng=rng)
                 for _ in range(PROCESSES)
             ]
             better += mean_wait(ours, True, seed) < mean_wait(naive, False, seed)
@@ -152,11 +152,11 @@
 
     def test_cached_history(self) -> None:
         """Stay where the history was read, unless the wait there is longer."""
-        memory = PrefixMemory()
+        prefix_index = PrefixIndex()
         shape = PromptShape(parts=(("system", 512), ("session", 6000)))
         home, other = InstanceId("home"), InstanceId("other")
-        memory.note(home, shape)
-        policy = PrefixPlacement(memory=memory, rng=random.Random(1))
+        prefix_index.record(home, shape)
+        policy = PrefixPlacement(prefix_index=prefix_index, rng=random.Random(1))
 
         def chosen(wait: float) -> InstanceId:
             choices = [
@@ -188,7 +188,9 @@
             asked = PromptShape(parts=shape.parts, owner=owner)
             chosen = set()
             for seed in range(PROCESSES):
-                policy = PrefixPlacement(memory=PrefixMemory(), rng=random.Random(seed))
+                policy = PrefixPlacement(
+                    prefix_index=PrefixIndex(), rng=random.Random(seed)
+                )
                 chosen.add(policy.choose(asked, choices)[0])
             return chosen
 
@@ -197,7 +199,7 @@
 
     def test_homes_are_spread(self) -> None:
         """Give each engine about its share of the programs."""
-        policy = PrefixPlacement(memory=PrefixMemory(), rng=random.Random(1))
+        policy = PrefixPlacement(prefix_index=PrefixIndex(), rng=random.Random(1))
         choices = [
             EngineChoice(instance=InstanceId(f"i-{one}"), slots=6, running=0, near=True)
             for one in range(6)
@@ -210,7 +212,7 @@
 
     def test_home_with_a_queue(self) -> None:
         """Leave home where waiting there costs more than reading again."""
-        policy = PrefixPlacement(memory=PrefixMemory(), rng=random.Random(1))
+        policy = PrefixPlacement(prefix_index=PrefixIndex(), rng=random.Random(1))
         shape = PromptShape(parts=(("s", 2000),), owner="program")
         names = [InstanceId("a"), InstanceId("b")]
 
@@ -254,7 +256,7 @@
         """
         policies: list[EnginePlacement] = [
             NearestFree(rng=random.Random(1)),
-            PrefixPlacement(memory=PrefixMemory(), rng=random.Random(1)),
+            PrefixPlacement(prefix_index=PrefixIndex(), rng=random.Random(1)),
         ]
         choices = [
             EngineChoice(
