--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -7,7 +7,12 @@
 from collections.abc import Callable
 
 from ..ids import DataCentre, InstanceId, ServiceName
-from ..policies.engines import EngineChoice, EnginePlacement, PrefixIndex, PromptShape
+from ..policies.engines import (
+    EngineCandidate,
+    EnginePlacement,
+    PrefixIndex,
+    PromptShape,
+)
 from ..policies.health import TargetHealth, first_event_due
 from ..policies.retries import RetryBudget, RetryPolicy, attempt_timeout
 from ..policies.starts import DeadlineBoundedWait, Start, StartPolicy
@@ -142,8 +147,8 @@
         weights = [share.weight for share in route.services]
         return self._rng.choices(route.services, weights)[0].service
 
-    def _choice(self, entry: TargetEntry) -> EngineChoice:
-        return EngineChoice(
+    def _choice(self, entry: TargetEntry) -> EngineCandidate:
+        return EngineCandidate(
             instance=entry.incarnation,
             slots=max(1, entry.slots),
             running=self.load.running(entry.incarnation),
--- a/sequoiaarch/policies/engines.py
+++ b/sequoiaarch/policies/engines.py
@@ -33,7 +33,7 @@
 FAILING_MARGIN = 0.25
 
 
-class EngineChoice(msgspec.Struct, frozen=True, kw_only=True):
+class EngineCandidate(msgspec.Struct, frozen=True, kw_only=True):
     """Describe an instance that could run the request.
 
     `running` counts this process's requests there, `wait` is the time in
@@ -64,7 +64,7 @@
     """Choose among instances; there is always at least one."""
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineChoice]
+        self, shape: PromptShape, choices: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
         """Return the instance and the reason."""
 
@@ -81,7 +81,7 @@
         self._rng = rng
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineChoice]
+        self, shape: PromptShape, choices: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
         """Return a near and free instance, or the least loaded of all."""
         sound = _sound(choices)
@@ -89,7 +89,7 @@
         return LeastRunning(rng=self._rng).choose(shape, near or sound)
 
 
-def _sound(choices: list[EngineChoice]) -> list[EngineChoice]:
+def _sound(choices: list[EngineCandidate]) -> list[EngineCandidate]:
     """Return the instances that don't fail much more than the best one.
 
     A target can fail part of its requests while its health check is good, for
@@ -99,7 +99,7 @@
     return [one for one in choices if one.failing <= least + FAILING_MARGIN]
 
 
-def _free(one: EngineChoice) -> bool:
+def _free(one: EngineCandidate) -> bool:
     return one.running < one.slots * FREE_SHARE
 
 
@@ -110,7 +110,7 @@
         self._rng = rng
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineChoice]
+        self, shape: PromptShape, choices: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
         """Return the least loaded instance, a near one among equals."""
         best = min(
@@ -172,7 +172,7 @@
         self._rng = rng
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineChoice]
+        self, shape: PromptShape, choices: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
         """Return the instance with the lowest expected time."""
         sound = _sound(choices)
@@ -185,7 +185,7 @@
         return best.instance, reason
 
     def _cost(
-        self, shape: PromptShape, one: EngineChoice, home: InstanceId | None
+        self, shape: PromptShape, one: EngineCandidate, home: InstanceId | None
     ) -> float:
         cost = one.wait + one.running * SHARE_SECONDS
         if one.instance != home:
@@ -194,7 +194,7 @@
         return cost if one.near else cost + DISTANCE_SECONDS
 
 
-def _home(owner: str, choices: list[EngineChoice]) -> InstanceId | None:
+def _home(owner: str, choices: list[EngineCandidate]) -> InstanceId | None:
     """Return the instance nearby that ranks first for an owner, by rendezvous."""
     if not owner:
         return None
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -12,7 +12,7 @@
 
 from ...fleet.ranking import place_of
 from ...ids import HostName, InstanceId
-from ...policies.engines import EngineChoice, NearestFree, PromptShape
+from ...policies.engines import EngineCandidate, NearestFree, PromptShape
 from ...policies.health import (
     MOST_RECORDS,
     PASS_OVER,
@@ -38,10 +38,10 @@
 _Event = tuple[float, int, int, bool, bool]
 
 
-def _choices(health: TargetHealth, now: float) -> list[EngineChoice]:
+def _choices(health: TargetHealth, now: float) -> list[EngineCandidate]:
     """Return both targets, idle, as a host knows them."""
     return [
-        EngineChoice(
+        EngineCandidate(
             instance=name,
             slots=SLOTS,
             running=0,
--- a/sequoiaarch/tests/policies/worst_load_tests.py
+++ b/sequoiaarch/tests/policies/worst_load_tests.py
@@ -9,7 +9,7 @@
 
 from ...ids import InstanceId
 from ...policies.engines import (
-    EngineChoice,
+    EngineCandidate,
     EnginePlacement,
     LeastRunning,
     NearestFree,
@@ -113,7 +113,7 @@
         process = rng.randrange(PROCESSES)
         ends[process] = [one for one in ends[process] if one[0] > now]
         choices = [
-            EngineChoice(
+            EngineCandidate(
                 instance=name,
                 slots=SLOTS,
                 running=sum(one[1] == name for one in ends[process]),
@@ -160,8 +160,10 @@
 
         def chosen(wait: float) -> InstanceId:
             choices = [
-                EngineChoice(instance=home, slots=8, running=1, near=True, wait=wait),
-                EngineChoice(instance=other, slots=8, running=1, near=True),
+                EngineCandidate(
+                    instance=home, slots=8, running=1, near=True, wait=wait
+                ),
+                EngineCandidate(instance=other, slots=8, running=1, near=True),
             ]
             return policy.choose(shape, choices)[0]
 
@@ -178,7 +180,7 @@
         """
         shape = PromptShape(parts=(("system", 512), ("s", 3000)), owner="program")
         choices = [
-            EngineChoice(
+            EngineCandidate(
                 instance=InstanceId(f"i-{one}"), slots=6, running=0, near=one < 6
             )
             for one in range(18)
@@ -201,7 +203,9 @@
         """Give each engine about its share of the programs."""
         policy = PrefixPlacement(prefix_index=PrefixIndex(), rng=random.Random(1))
         choices = [
-            EngineChoice(instance=InstanceId(f"i-{one}"), slots=6, running=0, near=True)
+            EngineCandidate(
+                instance=InstanceId(f"i-{one}"), slots=6, running=0, near=True
+            )
             for one in range(6)
         ]
         counts = dict.fromkeys((one.instance for one in choices), 0)
@@ -218,7 +222,7 @@
 
         def chosen(waits: dict[InstanceId, float]) -> InstanceId:
             choices = [
-                EngineChoice(
+                EngineCandidate(
                     instance=one, slots=6, running=0, near=True, wait=waits.get(one, 0)
                 )
                 for one in names
@@ -236,8 +240,8 @@
 
         def chosen(running: int) -> InstanceId:
             choices = [
-                EngineChoice(instance=near, slots=6, running=running, near=True),
-                EngineChoice(instance=far, slots=6, running=0, near=False),
+                EngineCandidate(instance=near, slots=6, running=running, near=True),
+                EngineCandidate(instance=far, slots=6, running=0, near=False),
             ]
             return policy.choose(PromptShape(parts=()), choices)[0]
 
@@ -259,14 +263,16 @@
             PrefixPlacement(prefix_index=PrefixIndex(), rng=random.Random(1)),
         ]
         choices = [
-            EngineChoice(
+            EngineCandidate(
                 instance=InstanceId("failing"),
                 slots=6,
                 running=0,
                 near=True,
                 failing=0.5,
             ),
-            EngineChoice(instance=InstanceId("sound"), slots=6, running=3, near=False),
+            EngineCandidate(
+                instance=InstanceId("sound"), slots=6, running=3, near=False
+            ),
         ]
         for policy in policies:
             chosen, _ = policy.choose(PromptShape(parts=()), choices)
@@ -276,7 +282,7 @@
         """Use the instances of a service all of which fail."""
         policy = NearestFree(rng=random.Random(1))
         choices = [
-            EngineChoice(
+            EngineCandidate(
                 instance=InstanceId(f"i-{one}"),
                 slots=6,
                 running=0,
