--- a/sequoiaarch/gateway/router.py
+++ b/sequoiaarch/gateway/router.py
@@ -15,7 +15,7 @@
 from ..daemon.base import Core
 from ..errors import ErrorKind, Failure, FailureError, NotRun, fail
 from ..ids import ProgramId, TargetName
-from ..policies.placement import Candidate, Choice, Placing, make_placement
+from ..policies.placement import Candidate, Choice, PlacementRequest, make_placement
 from ..records.types import ProgramSpec, ProgramState
 from ..wire.messages import (
     CallKind,
@@ -348,7 +348,7 @@
         candidates: list[Candidate],
     ) -> Choice:
         policy = self._core.catalogue.policy_for(call.spec.labels)
-        placing = Placing(
+        placing = PlacementRequest(
             home=home,
             context_tokens=len(call.body) // BYTES_A_TOKEN,
             latency_weight=policy.latency_weight,
--- a/sequoiaarch/policies/placement.py
+++ b/sequoiaarch/policies/placement.py
@@ -61,7 +61,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Placing:
+class PlacementRequest:
     """Describe the call to place."""
 
     home: TargetName | None
@@ -80,7 +80,7 @@
 class Placement(Protocol):
     """Choose among candidates; there is always at least one."""
 
-    def choose(self, placing: Placing, candidates: list[Candidate]) -> Choice:
+    def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return the target that should run the call."""
 
 
@@ -90,7 +90,7 @@
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
 
-    def choose(self, placing: Placing, candidates: list[Candidate]) -> Choice:
+    def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return any target."""
         target = self._rng.choice(candidates).target
         return Choice(target=target, reason="chosen at random")
@@ -102,7 +102,7 @@
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
 
-    def choose(self, placing: Placing, candidates: list[Candidate]) -> Choice:
+    def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return the least loaded target."""
         shuffled = self._rng.sample(candidates, len(candidates))
         best = min(shuffled, key=lambda one: one.busy)
@@ -115,12 +115,12 @@
     def __init__(self, *, rng: random.Random) -> None:
         self._first = LeastLoadedPlacement(rng=rng)
 
-    def choose(self, placing: Placing, candidates: list[Candidate]) -> Choice:
+    def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return the home, or the least loaded target for a new program."""
-        if any(one.target == placing.home for one in candidates):
-            assert placing.home is not None
-            return Choice(target=placing.home, reason="stays at its first target")
-        return self._first.choose(placing, candidates)
+        if any(one.target == request.home for one in candidates):
+            assert request.home is not None
+            return Choice(target=request.home, reason="stays at its first target")
+        return self._first.choose(request, candidates)
 
 
 class AffinityPlacement:
@@ -133,11 +133,11 @@
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
 
-    def choose(self, placing: Placing, candidates: list[Candidate]) -> Choice:
+    def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return the home or a better place."""
-        home = next((one for one in candidates if one.target == placing.home), None)
+        home = next((one for one in candidates if one.target == request.home), None)
         if home is None:
-            return self._start(placing, candidates)
+            return self._start(request, candidates)
         # An old report shows a queue that has filled since: programs that
         # follow it all move to the same place and wait there.
         others = [
@@ -148,15 +148,15 @@
         best = min(others, key=lambda one: one.expected_wait + one.distance)
         # The weight of latency scales what moving costs: with weight 0 a
         # prefix is never thrown away to save waiting.
-        rebuild = placing.context_tokens / REBUILD_RATE
-        gain = (home.expected_wait - best.expected_wait) * placing.latency_weight
+        rebuild = request.context_tokens / REBUILD_RATE
+        gain = (home.expected_wait - best.expected_wait) * request.latency_weight
         if gain > MOVE_MARGIN * rebuild + best.distance + best.call_seconds:
             reason = f"waits {gain:.2f} s less there, rebuild takes {rebuild:.2f} s"
             return Choice(target=best.target, reason=reason)
-        reason = f"prefix of {placing.context_tokens} tokens is cached there"
+        reason = f"prefix of {request.context_tokens} tokens is cached there"
         return Choice(target=home.target, reason=reason)
 
-    def _start(self, placing: Placing, candidates: list[Candidate]) -> Choice:
+    def _start(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         drawn = self._rng.sample(candidates, min(CHOICES, len(candidates)))
         best = min(drawn, key=self._score)
         names = ", ".join(f"{one.target} {self._score(one):.2f}" for one in drawn)
--- a/sequoiaarch/tests/policies/policy_tests.py
+++ b/sequoiaarch/tests/policies/policy_tests.py
@@ -9,7 +9,7 @@
 from ...ids import ProgramId, TargetName
 from ...policies.admission import Occupancy, OpenAdmission, WorkingSetAdmission
 from ...policies.order import AttainedOrder, FirstComeOrder, Ticket
-from ...policies.placement import Candidate, Placing, make_placement
+from ...policies.placement import Candidate, PlacementRequest, make_placement
 from ...policies.retention import Pauses, PredictedRetention, Prefix
 from ...wire.messages import Load
 
@@ -44,13 +44,13 @@
         weight: float = 1,
     ) -> str:
         """Return the chosen target."""
-        placing = Placing(
+        request = PlacementRequest(
             home=TargetName(home) if home else None,
             context_tokens=2_000,
             latency_weight=weight,
         )
         placement = make_placement(name, random.Random(3))
-        return placement.choose(placing, list(found)).target
+        return placement.choose(request, list(found)).target
 
     def test_affinity_stays(self) -> None:
         """Stay at the home while nothing is gained elsewhere."""
