--- a/sequoiaarch/policies/retention.py
+++ b/sequoiaarch/policies/retention.py
@@ -42,13 +42,13 @@
     reason: str
 
 
-class Pauses:
+class PauseEstimator:
     """Learn how long programs of each name pause between calls."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
-    def note(self, name: str, pause: float) -> None:
+    def record(self, name: str, pause: float) -> None:
         """Take in one pause, in seconds."""
         mean = self._means.get(name, pause)
         self._means[name] = mean + LEARNING * (pause - mean)
@@ -76,7 +76,7 @@
 class PredictedRetention:
     """Export the prefix whose program is expected back last."""
 
-    def __init__(self, *, pauses: Pauses) -> None:
+    def __init__(self, *, pauses: PauseEstimator) -> None:
         self._pauses = pauses
 
     def victims(self, prefixes: list[Prefix], needed: int, now: float) -> list[Victim]:
@@ -107,7 +107,7 @@
         return paused * LONG_PAUSE_FACTOR
 
 
-def make_retention(name: RetentionName, pauses: Pauses) -> Retention:
+def make_retention(name: RetentionName, pauses: PauseEstimator) -> Retention:
     """Return the retention of a name."""
     if name is RetentionName.PREDICTED:
         return PredictedRetention(pauses=pauses)
--- a/sequoiaarch/sidecar/memory.py
+++ b/sequoiaarch/sidecar/memory.py
@@ -13,7 +13,13 @@
 from ..ids import ProgramId
 from ..observe.decisions import Decisions
 from ..observe.metrics import Metrics
-from ..policies.retention import Pauses, Prefix, PrefixTable, Removal, make_retention
+from ..policies.retention import (
+    PauseEstimator,
+    Prefix,
+    PrefixTable,
+    Removal,
+    make_retention,
+)
 from ..shards.client import Shards
 
 log = logbook.Logger("memory")
@@ -47,7 +53,7 @@
         self._metrics = metrics
         self._decisions = decisions
         self._table = PrefixTable()
-        self._pauses = Pauses()
+        self._pauses = PauseEstimator()
         self._growth: dict[str, float] = {}
         self._started: dict[ProgramId, tuple[str, int]] = {}
         self._to_import: set[ProgramId] = set()
@@ -93,7 +99,7 @@
         now = asyncio.get_running_loop().time()
         own = self._table.get(program)
         if own is not None and not own.running:
-            self._pauses.note(name, now - own.last_used)
+            self._pauses.record(name, now - own.last_used)
         exported = own is not None and own.exported
         before = own.tokens if own is not None else 0
         self._table.put(
--- a/sequoiaarch/tests/policies/policy_tests.py
+++ b/sequoiaarch/tests/policies/policy_tests.py
@@ -10,7 +10,7 @@
 from ...policies.admission import Occupancy, OpenAdmission, WorkingSetAdmission
 from ...policies.order import AttainedOrder, FirstComeOrder, Ticket
 from ...policies.placement import Candidate, PlacementRequest, make_placement
-from ...policies.retention import Pauses, PredictedRetention, Prefix
+from ...policies.retention import PauseEstimator, PredictedRetention, Prefix
 from ...wire.messages import Load
 
 P = ProgramId("alpha:p")
@@ -171,9 +171,9 @@
 
     def test_latest_return_leaves_first(self) -> None:
         """Export the prefix whose program is expected back last."""
-        pauses = Pauses()
-        pauses.note("s", 0.5)
-        pauses.note("l", 60.0)
+        pauses = PauseEstimator()
+        pauses.record("s", 0.5)
+        pauses.record("l", 60.0)
         retention = PredictedRetention(pauses=pauses)
         prefixes = [
             self.prefix("short", 10.0),
