--- a/sequoiaarch/policies/retention.py
+++ b/sequoiaarch/policies/retention.py
@@ -133,21 +133,21 @@
         self._prefixes.pop(program, None)
 
     @property
-    def all(self) -> list[Prefix]:
+    def prefixes(self) -> list[Prefix]:
         """Return all prefixes."""
         return list(self._prefixes.values())
 
     @property
-    def kept(self) -> int:
+    def total_tokens(self) -> int:
         """Return the tokens of all prefixes, exported ones included."""
         return sum(one.tokens for one in self._prefixes.values())
 
     @property
-    def running(self) -> int:
+    def running_tokens(self) -> int:
         """Return the tokens of prefixes whose calls are under way."""
         return sum(one.tokens for one in self._prefixes.values() if one.running)
 
     @property
-    def held(self) -> int:
+    def resident_tokens(self) -> int:
         """Return the tokens in engine memory."""
         return sum(one.tokens for one in self._prefixes.values() if not one.exported)
--- a/sequoiaarch/sidecar/memory.py
+++ b/sequoiaarch/sidecar/memory.py
@@ -62,27 +62,27 @@
     @property
     def held(self) -> int:
         """Return the tokens that are believed to be in engine memory."""
-        return self._table.held
+        return self._table.resident_tokens
 
     @property
     def kept(self) -> int:
         """Return the tokens of all prefixes, exported ones included."""
-        return self._table.kept
+        return self._table.total_tokens
 
     @property
     def running(self) -> int:
         """Return the tokens of prefixes whose calls are under way."""
-        return self._table.running
+        return self._table.running_tokens
 
     @property
     def programs(self) -> int:
         """Return how many programs have a prefix here."""
-        return len(self._table.all)
+        return len(self._table.prefixes)
 
     @property
     def free(self) -> int:
         """Return the tokens of engine memory that no prefix uses."""
-        return max(0, self._capacity() - self._table.held)
+        return max(0, self._capacity() - self._table.resident_tokens)
 
     def knows(self, program: ProgramId) -> bool:
         """Return whether the program has a prefix here."""
@@ -126,12 +126,12 @@
             await self._engine.import_(program)
 
     async def _make_room(self, now: float) -> None:
-        needed = self._table.held - self._capacity()
+        needed = self._table.resident_tokens - self._capacity()
         if needed <= 0:
             return
         retention = make_retention(self._policy().retention, self._pauses)
         moves = []
-        for victim in retention.victims(self._table.all, needed, now):
+        for victim in retention.victims(self._table.prefixes, needed, now):
             prefix = self._table.get(victim.program)
             if prefix is None:
                 continue
@@ -202,7 +202,7 @@
             await self._free_dead(shard, programs, now)
 
     def _drop_missing(self, held: set[ProgramId], now: float) -> None:
-        for prefix in self._table.all:
+        for prefix in self._table.prefixes:
             young = now - prefix.last_used < UNCERTAIN_AGE
             if prefix.program not in held and not prefix.running and not young:
                 self._table.remove(prefix.program)
