--- a/sequoiaarch/fleet/claiming.py
+++ b/sequoiaarch/fleet/claiming.py
@@ -12,7 +12,7 @@
 from ..errors import Failure
 from ..ids import HostName, ProgramId, WriterId
 from ..ledger.loans import LoanBook
-from ..routing.follower import boot_time
+from ..routing.follower import boottime_clock
 from ..storage.keyed import KeyedLog, KeyedRecord, Partition, Writer
 from .claims import (
     LENDING_LEASE,
@@ -57,8 +57,8 @@
         book: LoanBook,
         claims: Claims,
         standing: Standing,
-        seen_from: Callable[[], float] = boot_time,
-        clock: Callable[[], float] = boot_time,
+        seen_from: Callable[[], float] = boottime_clock,
+        clock: Callable[[], float] = boottime_clock,
     ) -> None:
         self._writer = writer
         self._own = own
--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -14,7 +14,7 @@
 from ..ledger.split import BudgetSplit
 from ..ledger.turns import LocalTurns
 from ..policies.health import TargetHealth
-from ..routing.follower import TopicFollower, boot_time
+from ..routing.follower import TopicFollower, boottime_clock
 from ..storage.keyed import KeyedLog, KeyedRecord, ListedRecord
 from ..wire.links import Send
 from ..wire.messages import (
@@ -110,7 +110,7 @@
             ledger=ledger,
         )
         self.reports = TargetReports(own=own, peers=peers, health=health)
-        self.host_lease = HostLease(lease=limits.lease, clock=boot_time)
+        self.host_lease = HostLease(lease=limits.lease, clock=boottime_clock)
         self._registrations = TopicFollower(
             log=keyed_log,
             topic=PEERS_TOPIC,
@@ -133,7 +133,7 @@
             owns=self._owns,
             term=lambda: self.host_lease.term,
             since=lambda: self.host_lease.since,
-            clock=boot_time,
+            clock=boottime_clock,
             rng=random.Random(),
         )
         self.quotas = FleetQuotas(
@@ -142,7 +142,7 @@
             standing=standing,
             owners=self._owners,
             limiter=self.limiter,
-            token_cache=TokenCache(clock=boot_time),
+            token_cache=TokenCache(clock=boottime_clock),
         )
         self._followers = [
             self._registrations,
--- a/sequoiaarch/ingress/configuration.py
+++ b/sequoiaarch/ingress/configuration.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from ..routing.follower import WAIT_SECONDS, TopicFollower, boot_time
+from ..routing.follower import WAIT_SECONDS, TopicFollower, boottime_clock
 from ..routing.routes import RouteTable
 from ..storage.keyed import KeyedLog, KeyedRecord
 from ..workspaces.access import Access
@@ -39,7 +39,7 @@
             change=self._take,
             wait=read_wait(access.limit),
         )
-        access.age = lambda: boot_time() - self._follower.seen_from
+        access.age = lambda: boottime_clock() - self._follower.seen_from
 
     async def follow(self) -> None:
         """Read on for ever."""
--- a/sequoiaarch/routing/follower.py
+++ b/sequoiaarch/routing/follower.py
@@ -20,7 +20,7 @@
 RETRY_SECONDS = 0.2
 
 
-def boot_time() -> float:
+def boottime_clock() -> float:
     """Return the seconds since the machine started, its pauses included."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -71,7 +71,7 @@
     async def follow(self) -> None:
         """Read on for ever."""
         while True:
-            begun = boot_time()
+            begun = boottime_clock()
             reason = await self._step()
             if reason is None:
                 self.seen_from = begun
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -10,7 +10,7 @@
 
 from ..errors import ErrorKind, FailureError, fail
 from ..ids import Workspace
-from ..routing.follower import boot_time
+from ..routing.follower import boottime_clock
 from .access import Caller
 from .directory import RateLimit
 from .limiter import Limiter, TokenGrant
@@ -82,17 +82,17 @@
     *, limits: Callable[[Workspace], RateLimit | None], bounds: QuotaBounds
 ) -> LocalQuotas:
     """Return the quotas of a process that keeps all limits itself."""
-    started = boot_time()
+    started = boottime_clock()
     limiter = Limiter(
         bounds=bounds,
         limits=limits,
         owns=lambda workspace, share: True,
         term=lambda: 0,
         since=lambda: started,
-        clock=boot_time,
+        clock=boottime_clock,
         rng=random.Random(),
     )
-    return LocalQuotas(limiter=limiter, token_cache=TokenCache(clock=boot_time))
+    return LocalQuotas(limiter=limiter, token_cache=TokenCache(clock=boottime_clock))
 
 
 class RequestToken:
