--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -193,7 +193,7 @@
 
     def _seen_from(self) -> float:
         """Return since when claims and registrations are known, in boot time."""
-        return min(one.seen_from for one in self._followers)
+        return min(one.as_of for one in self._followers)
 
     def _replace_peers(self, records: Sequence[KeyedRecord]) -> None:
         self._peers.replace(records)
--- a/sequoiaarch/ingress/configuration.py
+++ b/sequoiaarch/ingress/configuration.py
@@ -39,7 +39,7 @@
             change=self._take,
             wait=read_wait(access.limit),
         )
-        access.age = lambda: boottime_clock() - self._follower.seen_from
+        access.age = lambda: boottime_clock() - self._follower.as_of
 
     async def follow(self) -> None:
         """Read on for ever."""
--- a/sequoiaarch/routing/follower.py
+++ b/sequoiaarch/routing/follower.py
@@ -61,7 +61,7 @@
         self.read_at = float("-inf")
         # When the last read that was answered began, on the clock that counts
         # pauses of the machine: what it showed is no older.
-        self.seen_from = float("-inf")
+        self.as_of = float("-inf")
 
     @property
     def away(self) -> bool:
@@ -74,7 +74,7 @@
             begun = boottime_clock()
             reason = await self._step()
             if reason is None:
-                self.seen_from = begun
+                self.as_of = begun
                 self._viewed(begun)
                 self.read_at = asyncio.get_running_loop().time()
                 if self._away:
