--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -117,7 +117,7 @@
             replace=self._replace_peers,
             change=self._change_peer,
             wait=limits.wait,
-            viewed=self.host_lease.renew,
+            on_read=self.host_lease.renew,
         )
         self._joining = Joining(
             own=own, writer=writer, peers=peers, host_lease=self.host_lease
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -172,9 +172,9 @@
             topic=sources.targets_topic,
             replace=registrations.take_all,
             change=registrations.take,
-            gather=TARGETS_GATHER,
-            lost=self.targets.store_lost,
-            regained=self.targets.store_regained,
+            batch_delay=TARGETS_GATHER,
+            on_lost=self.targets.store_lost,
+            on_regained=self.targets.store_regained,
         )
         self.dispatcher.targets_read = lambda: self._targets_follower.read_at
         self._parts: list[Coroutine[Any, Any, None]] = [
--- a/sequoiaarch/routing/follower.py
+++ b/sequoiaarch/routing/follower.py
@@ -41,21 +41,21 @@
         topic: str,
         replace: Callable[[Sequence[ListedRecord]], None],
         change: Callable[[ListedRecord], None],
-        gather: float = 0.0,
+        batch_delay: float = 0.0,
         wait: float = WAIT_SECONDS,
-        lost: Callable[[], None] = lambda: None,
-        regained: Callable[[], None] = lambda: None,
-        viewed: Callable[[float], None] = lambda since: None,
+        on_lost: Callable[[], None] = lambda: None,
+        on_regained: Callable[[], None] = lambda: None,
+        on_read: Callable[[float], None] = lambda since: None,
     ) -> None:
         self._log = log
         self._partition = Partition(topic=topic, number=0)
         self._replace = replace
         self._change = change
-        self._gather = gather
+        self._batch_delay = batch_delay
         self._wait = wait
-        self._lost = lost
-        self._regained = regained
-        self._viewed = viewed
+        self._on_lost = on_lost
+        self._on_regained = on_regained
+        self._on_read = on_read
         self._cursor: Offset | None = None
         self._away = False
         self.read_at = float("-inf")
@@ -75,18 +75,18 @@
             reason = await self._step()
             if reason is None:
                 self.as_of = begun
-                self._viewed(begun)
+                self._on_read(begun)
                 self.read_at = asyncio.get_running_loop().time()
                 if self._away:
                     self._away = False
                     log.info("{} can be read again", self._partition.topic)
-                    self._regained()
-                await asyncio.sleep(self._gather)
+                    self._on_regained()
+                await asyncio.sleep(self._batch_delay)
                 continue
             if not self._away:
                 self._away = True
                 log.warning("{} can't be read: {}", self._partition.topic, reason)
-                self._lost()
+                self._on_lost()
             await asyncio.sleep(RETRY_SECONDS)
 
     async def _step(self) -> str | None:
