--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -170,8 +170,8 @@
         self._targets_follower = TopicFollower(
             log=keyed_log,
             topic=sources.targets_topic,
-            replace=registrations.take_all,
-            change=registrations.take,
+            replace=registrations.replace,
+            change=registrations.apply,
             batch_delay=TARGETS_GATHER,
             on_lost=self.targets.store_lost,
             on_regained=self.targets.store_regained,
--- a/sequoiaarch/routing/registrations.py
+++ b/sequoiaarch/routing/registrations.py
@@ -32,7 +32,7 @@
         self._targets = targets
         self._reported: OrderedDict[str, None] = OrderedDict()
 
-    def take_all(self, records: Sequence[KeyedRecord]) -> None:
+    def replace(self, records: Sequence[KeyedRecord]) -> None:
         """Take over a complete list."""
         listed = [record for record in records if record.value]
         entries = [self._entry(record) for record in listed]
@@ -41,7 +41,7 @@
             if entry is None:
                 self._targets.reject(InstanceId(record.key))
 
-    def take(self, record: KeyedRecord) -> None:
+    def apply(self, record: KeyedRecord) -> None:
         """Take over one change."""
         if not record.value:
             self._targets.remove(InstanceId(record.key))
--- a/sequoiaarch/tests/platform/foreign_tests.py
+++ b/sequoiaarch/tests/platform/foreign_tests.py
@@ -79,7 +79,7 @@
             for number in range(5):
                 record = KeyedRecord(key=f"bad-{number}", value=b"{}")
                 for _ in range(3):
-                    registrations.take(record)
+                    registrations.apply(record)
         self.assertEqual(log.error.call_count, 5)
         self.assertEqual(len(registrations._reported), 3)
 
