--- a/sequoiaarch/tests/workspaces/__init__.py
+++ b/sequoiaarch/tests/workspaces/__init__.py
@@ -1,1 +1,1 @@
-"""Test workspaces: keys, isolation, revocation and limits."""
+"""Test keys, isolation and rate limits of workspaces."""
--- a/sequoiaarch/tests/workspaces/directory_tests.py
+++ b/sequoiaarch/tests/workspaces/directory_tests.py
@@ -1,4 +1,4 @@
-"""Test which workspace a key belongs to."""
+"""Test the lookup of workspaces by key and the scopes of ids."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def entry(name: str, *keys: str, priority: int | None = None) -> WorkspaceEntry:
-    """Return a workspace that holds keys."""
+    """Return a workspace with keys."""
     return WorkspaceEntry(name=Workspace(name), keys=frozenset(keys), priority=priority)
 
 
@@ -21,14 +21,14 @@
 
 
 def identify(directory: Directory | None, key: str | None, *, public: bool) -> Caller:
-    """Return the caller that a directory knows by a key."""
+    """Return the caller that a directory identifies by a key."""
     access = Access()
     access.directory = directory
     return access.identify(key, public=public)
 
 
 class DirectoryTests(unittest.TestCase):
-    """Look keys up."""
+    """Test keys, workspaces and scoped ids."""
 
     def test_keys_of_two_workspaces(self) -> None:
         """Find the workspace of each key."""
@@ -36,8 +36,8 @@
         self.assertEqual([one.workspace for one in found], [ONE, ONE, TWO])
         self.assertEqual([one.priority for one in found], [0, 0, None])
 
-    def test_key_that_nobody_holds(self) -> None:
-        """Refuse an unknown or missing key, and name it nowhere."""
+    def test_unknown_key(self) -> None:
+        """Refuse an unknown or missing key without showing it."""
         for key in ("secret-text", "", None):
             with self.subTest(key=key), self.assertRaises(FailureError) as caught:
                 identify(DIRECTORY, key, public=False)
@@ -46,18 +46,18 @@
             self.assertNotIn("secret-text", str(caught.exception))
 
     def test_public_route(self) -> None:
-        """Let callers without a good key use a public route, as nobody."""
+        """Admit callers without a known key to a public route anonymously."""
         for key in ("unknown", None):
             found = identify(DIRECTORY, key, public=True)
             self.assertEqual(found.workspace, ANONYMOUS)
         self.assertEqual(identify(DIRECTORY, "k3", public=True).workspace, TWO)
 
-    def test_no_workspaces_are_configured(self) -> None:
-        """Ask for no key where the configuration knows no workspaces."""
+    def test_no_workspaces_configured(self) -> None:
+        """Need no key where no workspaces are configured."""
         self.assertIs(identify(None, None, public=False), UNSCOPED_CALLER)
 
     def test_invalid_entries(self) -> None:
-        """Refuse names and keys that can't be told apart, without showing a key."""
+        """Reject invalid and duplicate names and keys without showing a key."""
         cases = [
             [entry("", "k")],
             [entry("a:b", "k")],
@@ -73,7 +73,7 @@
                 self.assertNotIn("secret", str(caught.exception))
 
     def test_scoped_ids_differ(self) -> None:
-        """Give equal ids of several workspaces, and of none, different scopes."""
+        """Scope equal ids of different workspaces differently."""
         name = ProgramId("two:p")
         ids = [scoped(one, name) for one in (ONE, TWO, ANONYMOUS, None)]
         ids.append(scoped(TWO, ProgramId("p")))
--- a/sequoiaarch/tests/workspaces/windows.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -1,4 +1,4 @@
-"""Play a fleet that keeps a limit, and count what runs in every window."""
+"""Simulate a fleet that enforces a limit and count requests in every window."""
 
 from __future__ import annotations
 
@@ -24,32 +24,32 @@
 
 @dataclass(kw_only=True, eq=False)
 class Registration:
-    """Hold what stands under a host in the store."""
+    """Represent the registration of a host in the store."""
 
-    life: int
+    process: int
     centre: DataCentre
 
 
 @dataclass(kw_only=True)
-class Plants:
-    """Say which safeguards are missing."""
+class MissingSafeguards:
+    """Select safeguards to leave out, so that the limit must be exceeded."""
 
-    acts_at_once: bool = False
-    acts_by_old_views: bool = False
-    tokens_last: bool = False
-    starts_full: bool = False
+    lease_starts_at_once: bool = False
+    lease_never_expires: bool = False
+    tokens_never_expire: bool = False
+    new_owner_starts_full: bool = False
 
 
-class Life:
-    """Run one process of a host: a view of the registrations, shares and tokens."""
+class Process:
+    """Simulate one process of a host, with its registrations, shares and tokens."""
 
-    def __init__(self, *, fleet: Fleet, host: HostName, number: int) -> None:
+    def __init__(self, *, fleet: Fleet, host: HostName, process_id: int) -> None:
         self.fleet = fleet
         self.host = host
-        self.number = number
+        self.process_id = process_id
         self.frozen_until = 0.0
-        self.cut_until = 0.0
-        self.seen_from = float("-inf")
+        self.partitioned_until = 0.0
+        self.read_at = float("-inf")
         self.view: dict[HostName, Registration] = {}
         self.version = 0
         self.filled: set[int] = set()
@@ -68,38 +68,38 @@
 
     @property
     def runs(self) -> bool:
-        """Return whether the process does anything now."""
+        """Return whether the process is not frozen now."""
         return self.fleet.now >= self.frozen_until
 
     @property
-    def reached(self) -> bool:
-        """Return whether the process reaches the store."""
+    def reaches_store(self) -> bool:
+        """Return whether the process can reach the store."""
         return self.runs and self.fleet.now >= max(
-            self.cut_until, self.fleet.store_back
+            self.partitioned_until, self.fleet.store_down_until
         )
 
-    def look(self) -> None:
-        """Read the registrations, in the order in which they changed."""
-        if not self.reached:
-            if self.fleet.plants.acts_by_old_views:
+    def read_registrations(self) -> None:
+        """Read the changes of registrations in order."""
+        if not self.reaches_store:
+            if self.fleet.missing.lease_never_expires:
                 self.host_lease.renew(self.fleet.now)
             return
-        first = self.seen_from == float("-inf")
+        first = self.read_at == float("-inf")
         if self.version < len(self.fleet.changes):
             self.host_lease.hosts_changed()
-        self.seen_from = self.fleet.now
+        self.read_at = self.fleet.now
         self.host_lease.renew(self.fleet.now)
         for host, found in self.fleet.changes[self.version :]:
             self._change(host, found, ordered=not first)
         if first:
-            self._tell_own(ordered=False)
+            self._update_lease(ordered=False)
         self.version = len(self.fleet.changes)
         if self.host_lease.pending and all(map(self._seen_by, self.view)):
             self.host_lease.seen_by_all()
         self.limiter.drop_unowned()
 
     def take(self, asked: float, begins: bool) -> bool:
-        """Run a request if a token can be had; return whether it ran."""
+        """Queue a request if it gets a token; return whether it did."""
         held = self.token_cache.take(WORKSPACE)
         if held is None:
             held = self._ask(asked, begins)
@@ -109,13 +109,13 @@
         return True
 
     def answer(self, share: int, count: int, begins: bool) -> TokenGrant:
-        """Answer another process, or the own one."""
-        if self.fleet.plants.starts_full:
+        """Grant tokens to another process or this one."""
+        if self.fleet.missing.new_owner_starts_full:
             self._fill()
         return self.limiter.take(WORKSPACE, share, count, begins=begins)
 
     def _fill(self) -> None:
-        """Fill new buckets, as if no predecessor had handed anything out."""
+        """Clear new windows, as if no previous owner had granted tokens."""
         for share in range(SHARE_COUNT):
             found = self.limiter._share(WORKSPACE, share)
             if found is not None and share not in self.filled:
@@ -124,7 +124,7 @@
 
     def _ask(self, asked: float, begins: bool) -> float | None:
         for share, host in enumerate(self.owners.of(WORKSPACE)):
-            keeper = self.fleet.lives.get(host)
+            keeper = self.fleet.processes.get(host)
             if keeper is None or not keeper.runs:
                 continue
             count = self.token_cache.wanted(WORKSPACE)
@@ -141,22 +141,22 @@
         else:
             self.view[host] = found
         if host == self.host and ordered:
-            self._tell_own(ordered=True)
+            self._update_lease(ordered=True)
 
     def _seen_by(self, host: HostName) -> bool:
-        life = self.fleet.lives.get(host)
-        if life is None or not life.runs:
+        process = self.fleet.processes.get(host)
+        if process is None or not process.runs:
             return False
-        found = life.view.get(self.host)
-        return found is not None and found.life == self.number
+        found = process.view.get(self.host)
+        return found is not None and found.process == self.process_id
 
-    def _tell_own(self, *, ordered: bool) -> None:
+    def _update_lease(self, *, ordered: bool) -> None:
         own = self.view.get(self.host)
         if own is None:
             self.host_lease.unregistered()
         else:
-            mine = own.life == self.number
-            at_once = self.fleet.plants.acts_at_once and mine
+            mine = own.process == self.process_id
+            at_once = self.fleet.missing.lease_starts_at_once and mine
             if at_once:
                 self.host_lease.registered(own=False, ordered=True)
             self.host_lease.registered(own=mine, ordered=ordered or at_once)
@@ -175,67 +175,71 @@
 
 @dataclass(kw_only=True, eq=False)
 class Fleet:
-    """Hold the processes, the store's registrations and what ran."""
+    """Hold the processes, the registrations in the store and the requests that ran."""
 
     limit: RateLimit
     rng: random.Random
-    plants: Plants = field(default_factory=Plants)
+    missing: MissingSafeguards = field(default_factory=MissingSafeguards)
     now: float = 0.0
-    store_back: float = 0.0
-    sends_after: float = 0.0
+    store_down_until: float = 0.0
+    sends_held_until: float = 0.0
 
     def __post_init__(self) -> None:
-        """Begin with nothing."""
-        self.lives: dict[HostName, Life] = {}
+        """Start without processes and registrations."""
+        self.processes: dict[HostName, Process] = {}
         self.changes: list[tuple[HostName, Registration | None]] = []
         self.ran: list[float] = []
-        self.sending: list[tuple[float, Life]] = []
+        self.sending: list[tuple[float, Process]] = []
         self.asked = 0
-        self._numbers = 0
+        self._started = 0
 
     def clock(self) -> float:
-        """Return the time, pauses included."""
+        """Return the simulated time, which includes pauses."""
         return self.now
 
     def start(self, host: HostName) -> None:
-        """Start a process at a host; it registers once it has read the list."""
-        self._numbers += 1
-        life = self.lives[host] = Life(fleet=self, host=host, number=self._numbers)
-        life.look()
-        life.look()
+        """Start a process at a host; it registers after its first read."""
+        self._started += 1
+        process = self.processes[host] = Process(
+            fleet=self, host=host, process_id=self._started
+        )
+        process.read_registrations()
+        process.read_registrations()
         centre = DataCentre(f"dc{int(host[1:]) % CENTRES}")
-        self.changes.append((host, Registration(life=life.number, centre=centre)))
+        self.changes.append(
+            (host, Registration(process=process.process_id, centre=centre))
+        )
 
     def kill(self, host: HostName) -> None:
-        """Lose a process; its registration stays."""
-        life = self.lives.pop(host, None)
-        self.sending = [one for one in self.sending if one[1] is not life]
+        """Kill a process; its registration stays."""
+        process = self.processes.pop(host, None)
+        self.sending = [one for one in self.sending if one[1] is not process]
 
     def stop(self, host: HostName) -> None:
-        """Stop a process in order, if it reaches the store."""
-        life = self.lives.get(host)
-        if life is None or not life.reached:
+        """Stop a process cleanly if it can reach the store."""
+        process = self.processes.get(host)
+        if process is None or not process.reaches_store:
             return
-        life.host_lease.release()
+        process.host_lease.release()
         self.changes.append((host, None))
         self.kill(host)
 
     def step(self) -> None:
-        """Let some time pass: views are read, and requests that wait are sent."""
+        """Advance the time, read registrations and send queued requests."""
         self.now += STEP
-        for life in self.lives.values():
+        for process in self.processes.values():
             if self.rng.random() < 0.2:
-                life.look()
+                process.read_registrations()
         waiting, self.sending = self.sending, []
-        for until, life in waiting:
-            waits = self.now < self.sends_after or self.rng.random() < 0.3
-            if waits or not life.runs:
-                self.sending.append((until, life))
-            elif self.now < until or self.plants.tokens_last:
+        for until, process in waiting:
+            waits = self.now < self.sends_held_until or self.rng.random() < 0.3
+            if waits or not process.runs:
+                self.sending.append((until, process))
+            elif self.now < until or self.missing.tokens_never_expire:
                 self.ran.append(self.now)
 
-    def worst_window(self) -> int:
-        """Return the most that ran in any window."""
+    def largest_window(self) -> int:
+        """Return the maximum number of requests that ran in any window."""
         return max(
             (
                 bisect_left(self.ran, begin + BOUNDS.window) - place
--- /dev/null
+++ b/sequoiaarch/tests/workspaces/tokens_tests.py
@@ -0,0 +1,133 @@
+"""Test the rate limit tokens of requests and their cache."""
+
+from __future__ import annotations
+
+import unittest
+
+from ...errors import ErrorKind
+from ...ids import Workspace
+from ...workspaces.access import UNSCOPED_CALLER, Caller
+from ...workspaces.directory import RateLimit
+from ...workspaces.quotas import Refusal, RequestToken, quota_failure
+from ...workspaces.sliding_window import TOKEN_LIFETIME
+from ...workspaces.token_cache import TokenCache
+
+WORKSPACE = Workspace("w")
+CALLER = Caller(workspace=WORKSPACE, limit=RateLimit(rate=1.0, burst=1.0))
+
+
+class _FakeQuotas:
+    """Grant a fixed number of tokens and count returned ones."""
+
+    def __init__(self, tokens: int) -> None:
+        self.tokens = tokens
+        self.time = 10.0
+        self.given_back = 0
+
+    async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
+        """Grant a token while there are some."""
+        if not self.tokens:
+            return Refusal(wait=0.7)
+        self.tokens -= 1
+        return self.time + TOKEN_LIFETIME
+
+    def give_back(self, caller: Caller, until: float) -> None:
+        """Count a returned token."""
+        self.given_back += 1
+
+    def now(self) -> float:
+        """Return the time."""
+        return self.time
+
+
+class RequestTokenTests(unittest.IsolatedAsyncioTestCase):
+    """Test the token of a request that is sent once or several times."""
+
+    def request_token(self, tokens: int) -> tuple[RequestToken, _FakeQuotas]:
+        """Return the token of a request and the quotas that it uses."""
+        quotas = _FakeQuotas(tokens)
+        return RequestToken(quotas=quotas, caller=CALLER), quotas
+
+    async def test_each_attempt_takes_a_token(self) -> None:
+        """Take another token for a second attempt."""
+        request_token, quotas = self.request_token(2)
+        for _ in range(2):
+            self.assertIsNone(await request_token.ensure())
+            request_token.spend()
+        self.assertIsInstance(await request_token.ensure(), Refusal)
+        self.assertEqual(quotas.tokens, 0)
+
+    async def test_attempt_that_did_not_run(self) -> None:
+        """Reuse the token of an attempt that the target did not run."""
+        request_token, _ = self.request_token(1)
+        self.assertIsNone(await request_token.ensure())
+        request_token.restore(request_token.spend())
+        self.assertIsNone(await request_token.ensure())
+
+    async def test_token_expires_while_request_waits(self) -> None:
+        """Take another token after the first one has expired."""
+        request_token, quotas = self.request_token(1)
+        self.assertIsNone(await request_token.ensure())
+        quotas.time += TOKEN_LIFETIME + 0.01
+        self.assertIsInstance(await request_token.ensure(), Refusal)
+
+    async def test_request_that_was_never_sent(self) -> None:
+        """Return the unused token of a refused request, only once."""
+        request_token, quotas = self.request_token(1)
+        self.assertIsNone(await request_token.ensure())
+        request_token.close()
+        request_token.close()
+        self.assertEqual(quotas.given_back, 1)
+
+    async def test_workspace_without_a_limit(self) -> None:
+        """Take no token where there is no limit."""
+        request_token = RequestToken(quotas=_FakeQuotas(0), caller=UNSCOPED_CALLER)
+        self.assertIsNone(await request_token.ensure())
+
+    def test_refusal_failures(self) -> None:
+        """Distinguish a reached limit from one whose owners can't be asked."""
+        full = quota_failure(CALLER, Refusal(wait=0.7)).failure
+        self.assertEqual((full.answer.status, full.wait), (429, 0.7))
+        unknown = quota_failure(CALLER, Refusal(wait=0.3, kept=False)).failure
+        self.assertIs(unknown.kind, ErrorKind.LIMIT_UNKNOWN)
+        self.assertEqual((unknown.answer.status, unknown.wait), (503, 0.3))
+
+
+class TokenCacheTests(unittest.TestCase):
+    """Test the expiry and prefetching of cached tokens."""
+
+    def setUp(self) -> None:
+        """Create an empty cache."""
+        self.time = 10.0
+        self.token_cache = TokenCache(clock=lambda: self.time)
+
+    def test_tokens_expire(self) -> None:
+        """Use no expired token, also after the process was frozen."""
+        self.token_cache.put(WORKSPACE, 3, asked=self.time)
+        self.assertIsNotNone(self.token_cache.take(WORKSPACE))
+        self.time += TOKEN_LIFETIME
+        self.assertIsNone(self.token_cache.take(WORKSPACE))
+
+    def test_lifetime_starts_at_request(self) -> None:
+        """Count the lifetime of tokens from their request, not the answer."""
+        asked = self.time
+        self.time += TOKEN_LIFETIME + 0.1
+        self.token_cache.put(WORKSPACE, 3, asked=asked)
+        self.assertIsNone(self.token_cache.take(WORKSPACE))
+
+    def test_tokens_share_earliest_expiry(self) -> None:
+        """Extend the expiry of no token when a newer one is added."""
+        self.token_cache.put(WORKSPACE, 1, asked=self.time)
+        self.time += 0.2
+        self.token_cache.put(WORKSPACE, 1, asked=self.time)
+        self.time += 0.1
+        self.assertIsNone(self.token_cache.take(WORKSPACE))
+
+    def test_prefetch_grows_with_request_rate(self) -> None:
+        """Request one token at first, and several at a high request rate."""
+        self.token_cache.take(WORKSPACE)
+        self.assertEqual(self.token_cache.wanted(WORKSPACE), 1)
+        for _ in range(400):
+            self.time += 0.002
+            self.token_cache.take(WORKSPACE)
+        self.assertGreater(self.token_cache.wanted(WORKSPACE), 5)
