--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -107,7 +107,7 @@
             rng=rng,
         )
         prefix_index = PrefixIndex()
-        health = TargetHealth(own=options.host, place=self._place)
+        health = TargetHealth(own=options.host, rank=self._place)
         access = Access(limit=options.key_age_limit)
         self.dispatcher = Dispatcher(
             codec=codec,
--- a/sequoiaarch/policies/health.py
+++ b/sequoiaarch/policies/health.py
@@ -80,11 +80,11 @@
     """
 
     def __init__(
-        self, *, own: HostName, place: Callable[[str], int] = lambda name: 0
+        self, *, own: HostName, rank: Callable[[str], int] = lambda name: 0
     ) -> None:
         """Know nothing; `place` is this host's place among all for a name."""
         self._own = own
-        self._place = place
+        self._rank = rank
         # Called when a target is passed over.
         self.on_ejected: Callable[[InstanceId], None] = lambda instance: None
         self._records: dict[InstanceId, _Record] = {}
@@ -176,7 +176,7 @@
         record.on_trial = True
         record.until = now + record.pause
         record.times += 1
-        record.turn = record.until + RETRY_GAP * self._place(
+        record.turn = record.until + RETRY_GAP * self._rank(
             f"{instance}/{record.times}"
         )
         record.reports.clear()
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -68,7 +68,7 @@
         """Make the hosts; each knows all of them, so that their places agree."""
         names = [HostName(f"h{number}") for number in range(self.hosts)]
         self.healths = [
-            TargetHealth(own=name, place=partial(place_of, name, hosts=names))
+            TargetHealth(own=name, rank=partial(place_of, name, hosts=names))
             for name in names
         ]
 
