--- a/sequoiaarch/routing/registrations.py
+++ b/sequoiaarch/routing/registrations.py
@@ -15,7 +15,7 @@
 
 # Keys that were reported once. A writer that repeats a bad entry several times a
 # second must not fill the log, nor one that invents keys the memory.
-REPORTED_KEPT = 1000
+MAX_REPORTED_KEYS = 1000
 
 
 class Registrations:
@@ -67,5 +67,5 @@
             return
         log.error("registration {!r} names no target: {}", key, error)
         self._reported[key] = None
-        if len(self._reported) > REPORTED_KEPT:
+        if len(self._reported) > MAX_REPORTED_KEYS:
             self._reported.popitem(last=False)
--- a/sequoiaarch/tests/platform/foreign_tests.py
+++ b/sequoiaarch/tests/platform/foreign_tests.py
@@ -72,7 +72,7 @@
     def test_bad_key_is_reported_once(self) -> None:
         """Bound the lines and the memory that bad entries cost."""
         with (
-            mock.patch.object(registrations_module, "REPORTED_KEPT", 3),
+            mock.patch.object(registrations_module, "MAX_REPORTED_KEYS", 3),
             mock.patch.object(registrations_module, "log") as log,
         ):
             registrations = Registrations(decode=decode_target, targets=Targets())
