--- a/sequoiaarch/policies/__init__.py
+++ b/sequoiaarch/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Decide where, in what order and with what memory programs run."""
+"""Policies for placement, order, admission, retention, retries and health."""
--- a/sequoiaarch/policies/admission.py
+++ b/sequoiaarch/policies/admission.py
@@ -8,16 +8,18 @@
 from ..config.documents import AdmissionName
 from .order import Ticket
 
-IDLE_SHARE = 0.5
+# An engine with a smaller fraction of its slots in use admits programs that do not
+# fit in memory.
+UNDERUSED_FRACTION = 0.5
 
 
 @dataclass(frozen=True, kw_only=True)
 class Occupancy:
-    """Describe how full a target is, in calls and in tokens of memory.
+    """Describe the load of a target in calls and in tokens of cache memory.
 
-    `running_tokens` is held by calls under way, `kept_tokens` by all programs
-    that have a prefix here, exported ones included; `export_tokens` is the
-    memory outside the engine that prefixes can be exported to.
+    `running_tokens` belong to running calls, `kept_tokens` to all programs with a
+    prefix here, exported ones included. `export_tokens` is the capacity outside the
+    engine for exported prefixes, `growth` the expected growth of a prefix.
     """
 
     running: int
@@ -30,7 +32,7 @@
 
 
 class Admission(Protocol):
-    """Decide about the first call of a program at a target."""
+    """Decide whether a program may start at a target."""
 
     def admits(self, ticket: Ticket, occupancy: Occupancy) -> bool:
         """Return whether the program may start now."""
@@ -45,17 +47,16 @@
 
 
 class WorkingSetAdmission:
-    """Let a program start while the prefixes of all that run fit in memory.
+    """Let a program start while the prefixes of all programs fit in memory.
 
-    More programs than that evict each other's prefixes in a circle, and each
-    call then rebuilds its whole prompt. An engine that would stand half idle
-    takes a program all the same. No call starts that does not fit beside
-    those that run: the engine could not run it either, and would evict the
-    next prefix that falls idle as soon as it can.
+    More programs would evict each other's prefixes, so that each call has to rebuild
+    its whole prompt. An underused engine takes a program all the same. No call starts
+    that does not fit beside the running ones, as the engine would evict other
+    prefixes for it.
     """
 
     def admits(self, ticket: Ticket, occupancy: Occupancy) -> bool:
-        """Return whether the working set still fits."""
+        """Return whether the working set fits with this program."""
         together = occupancy.running_tokens + ticket.tokens
         if occupancy.running and together > occupancy.cache_tokens:
             return False
@@ -64,11 +65,11 @@
         need = occupancy.kept_tokens + ticket.tokens + occupancy.growth
         if need <= occupancy.cache_tokens + occupancy.export_tokens:
             return True
-        return occupancy.running < occupancy.slots * IDLE_SHARE
+        return occupancy.running < occupancy.slots * UNDERUSED_FRACTION
 
 
 def make_admission(name: AdmissionName) -> Admission:
-    """Return the admission of a name."""
+    """Return the admission policy with the given name."""
     if name is AdmissionName.WORKING_SET:
         return WorkingSetAdmission()
     return OpenAdmission()
--- a/sequoiaarch/policies/engines.py
+++ b/sequoiaarch/policies/engines.py
@@ -11,34 +11,33 @@
 
 from ..ids import InstanceId
 
-# Prompt tokens that an engine reads in a second; both deployments are near it.
+# Prompt tokens that an engine processes per second.
 PREFILL_RATE = 165_000.0
-# What a request of this process adds to the time of the next one beside it;
-# those of others show in the wait. Seconds.
-SHARE_SECONDS = 0.006
-# Leaving the data centre costs a millisecond or two each way and carries the
-# whole prompt between data centres, which is paid for. Four times what the way
-# takes halves these bytes and leaves waits as they are; eight times makes full
-# engines wait longer. Seconds.
-DISTANCE_SECONDS = 0.015
-# What an engine has read of a program at home is worth this many times its
-# reading: leaving also makes later turns read again, and evicts what others keep.
-HOME_FACTOR = 2.0
-PARTS_KEPT = 4096
-# Up to this share of an instance's slots in use by one process it counts as
-# free; with a few processes to each data centre it is then about half full.
-FREE_SHARE = 0.4
-# Instances that fail this share of requests more than the best one are passed
-# over. All can't be: the best one always stays, so no service is emptied.
-FAILING_MARGIN = 0.25
+# Time that each running request of this process adds to the next one; requests of
+# other processes are part of the wait. Seconds.
+SECONDS_PER_REQUEST = 0.006
+# Cost of an engine in another data centre: more than the network delay, as traffic
+# between data centres is paid for. Seconds.
+REMOTE_SECONDS = 0.015
+# Factor on the prefill time away from the home instance: moving also costs later
+# turns their cached prefix and evicts prefixes of other programs.
+HOME_CACHE_FACTOR = 2.0
+# Prompt parts remembered for each instance.
+MAX_PARTS = 4096
+# An instance has capacity while this process uses a smaller fraction of its slots:
+# other processes use it too.
+FREE_LOAD = 0.4
+# Instances whose failure rate exceeds the lowest one by more than this are skipped.
+# The best one always remains.
+FAILURE_RATE_MARGIN = 0.25
 
 
 class EngineCandidate(msgspec.Struct, frozen=True, kw_only=True):
     """Describe an instance that could run the request.
 
-    `running` counts this process's requests there, `wait` is the time in
-    seconds that a request is expected to wait, `failing` the share of requests
-    that lately failed there.
+    `running` counts this process's requests there, `wait` is the expected wait in
+    seconds and `failing` the recent failure rate. `near` tells that it is in this
+    data centre.
     """
 
     instance: InstanceId
@@ -50,10 +49,10 @@
 
 
 class PromptShape(msgspec.Struct, frozen=True, kw_only=True):
-    """List the parts of a prompt, in order, with their tokens.
+    """List the parts of a prompt with their tokens, in order.
 
-    `owner` names what later prompts will share most with this one, a program
-    as a rule; empty where that is unknown.
+    `owner` identifies prompts that share a long prefix, usually by the program; it is
+    empty if unknown.
     """
 
     parts: tuple[tuple[str, int], ...]
@@ -61,46 +60,51 @@
 
 
 class EnginePlacement(Protocol):
-    """Choose among instances; there is always at least one."""
+    """Choose among at least one instance."""
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineCandidate]
+        self, shape: PromptShape, candidates: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
         """Return the instance and the reason."""
 
 
 class NearestFree:
-    """Choose the nearest instance with few requests, else the least loaded.
+    """Choose an instance with capacity in this data centre, else the least loaded.
 
-    Requests and answers between data centres are priced, and a free instance
-    nearby answers sooner. What a process sees of an instance's load is its own
-    share, so "few" is a small part of the slots.
+    This avoids latency and paid traffic between data centres.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineCandidate]
+        self, shape: PromptShape, candidates: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
-        """Return a near and free instance, or the least loaded of all."""
-        sound = _sound(choices)
-        near = [one for one in sound if one.near and _free(one)]
-        return LeastRunning(rng=self._rng).choose(shape, near or sound)
+        """Return a near instance with capacity, or the least loaded of all."""
+        healthy = _healthy(candidates)
+        near = [
+            candidate
+            for candidate in healthy
+            if candidate.near and _has_capacity(candidate)
+        ]
+        return LeastRunning(rng=self._rng).choose(shape, near or healthy)
 
 
-def _sound(choices: list[EngineCandidate]) -> list[EngineCandidate]:
-    """Return the instances that don't fail much more than the best one.
+def _healthy(candidates: list[EngineCandidate]) -> list[EngineCandidate]:
+    """Return the instances whose failure rate is close to the lowest one.
 
-    A target can fail part of its requests while its health check is good, for
-    all or for some callers; only the answers show it.
+    A target may pass its health check and still fail some requests.
     """
-    least = min(one.failing for one in choices)
-    return [one for one in choices if one.failing <= least + FAILING_MARGIN]
+    least = min(candidate.failing for candidate in candidates)
+    return [
+        candidate
+        for candidate in candidates
+        if candidate.failing <= least + FAILURE_RATE_MARGIN
+    ]
 
 
-def _free(one: EngineCandidate) -> bool:
-    return one.running < one.slots * FREE_SHARE
+def _has_capacity(candidate: EngineCandidate) -> bool:
+    return candidate.running < candidate.slots * FREE_LOAD
 
 
 class LeastRunning:
@@ -110,61 +114,61 @@
         self._rng = rng
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineCandidate]
+        self, shape: PromptShape, candidates: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
-        """Return the least loaded instance, a near one among equals."""
+        """Return the least loaded instance, preferring near ones."""
         best = min(
-            choices,
-            key=lambda one: (one.running / one.slots, not one.near, self._rng.random()),
+            candidates,
+            key=lambda candidate: (
+                candidate.running / candidate.slots,
+                not candidate.near,
+                self._rng.random(),
+            ),
         )
         return best.instance, f"running={best.running}"
 
 
 class PrefixIndex:
-    """Remember which parts of prompts each instance has read lately."""
+    """Track which prompt parts each instance has probably cached."""
 
     def __init__(self) -> None:
         self._parts: dict[InstanceId, OrderedDict[str, None]] = {}
 
     def record(self, instance: InstanceId, shape: PromptShape) -> None:
-        """Remember that an instance has read a prompt."""
-        kept = self._parts.setdefault(instance, OrderedDict())
+        """Record that an instance has processed a prompt."""
+        parts = self._parts.setdefault(instance, OrderedDict())
         for part, _ in shape.parts:
-            kept[part] = None
-            kept.move_to_end(part)
-        while len(kept) > PARTS_KEPT:
-            kept.popitem(last=False)
+            parts[part] = None
+            parts.move_to_end(part)
+        while len(parts) > MAX_PARTS:
+            parts.popitem(last=False)
 
     def prefill_seconds(self, instance: InstanceId, shape: PromptShape) -> float:
-        """Return the seconds that the instance would read the prompt."""
+        """Return the seconds to process the uncached part of a prompt."""
         return self.uncached_tokens(instance, shape) / PREFILL_RATE
 
     def uncached_tokens(self, instance: InstanceId, shape: PromptShape) -> int:
-        """Return the tokens that the instance would have to read."""
-        kept = self._parts.get(instance, OrderedDict())
+        """Return the tokens behind the cached prefix of a prompt."""
+        parts = self._parts.get(instance, OrderedDict())
         total = sum(tokens for _, tokens in shape.parts)
         for part, tokens in shape.parts:
-            if part not in kept:
+            if part not in parts:
                 break
             total -= tokens
         return total
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget an instance that has left."""
+        """Drop an instance that has left."""
         self._parts.pop(instance, None)
 
 
 class PrefixPlacement:
-    """Choose the instance where the request is expected to end first.
-
-    Reading a long history again costs 20 ms and evicts what others have
-    cached; standing behind a full batch costs more. Both are weighed in
-    seconds.
+    """Choose the instance with the lowest cost, in seconds of waiting and prefill.
 
-    Turns of a program come through many processes, none of which knows where
-    the one before ran. So each program has a home by a hash that all of them
-    compute alike, among the instances nearby; a turn goes elsewhere only where
-    the wait at home costs more than reading the prompt again.
+    The turns of a program arrive at different processes, which don't know where the
+    previous one ran. So each program has a home instance in the data centre, chosen
+    by rendezvous hashing. A turn runs elsewhere only if the wait at home costs more
+    than processing the prompt again.
     """
 
     def __init__(self, *, prefix_index: PrefixIndex, rng: random.Random) -> None:
@@ -172,35 +176,40 @@
         self._rng = rng
 
     def choose(
-        self, shape: PromptShape, choices: list[EngineCandidate]
+        self, shape: PromptShape, candidates: list[EngineCandidate]
     ) -> tuple[InstanceId, str]:
-        """Return the instance with the lowest expected time."""
-        sound = _sound(choices)
-        home = _home(shape.owner, sound)
+        """Return the instance with the lowest cost."""
+        healthy = _healthy(candidates)
+        home = _home_instance(shape.owner, healthy)
         scored = [
-            (self._cost(shape, one, home), self._rng.random(), one) for one in sound
+            (self._cost(shape, candidate, home), self._rng.random(), candidate)
+            for candidate in healthy
         ]
         cost, _, best = min(scored, key=lambda entry: entry[:2])
         reason = f"cost={cost * 1000:.1f}ms wait={best.wait * 1000:.0f}ms"
         return best.instance, reason
 
     def _cost(
-        self, shape: PromptShape, one: EngineCandidate, home: InstanceId | None
+        self, shape: PromptShape, candidate: EngineCandidate, home: InstanceId | None
     ) -> float:
-        cost = one.wait + one.running * SHARE_SECONDS
-        if one.instance != home:
-            factor = 1.0 if home is None else HOME_FACTOR
-            cost += factor * self._prefix_index.prefill_seconds(one.instance, shape)
-        return cost if one.near else cost + DISTANCE_SECONDS
+        cost = candidate.wait + candidate.running * SECONDS_PER_REQUEST
+        if candidate.instance != home:
+            factor = 1.0 if home is None else HOME_CACHE_FACTOR
+            cost += factor * self._prefix_index.prefill_seconds(
+                candidate.instance, shape
+            )
+        return cost if candidate.near else cost + REMOTE_SECONDS
 
 
-def _home(owner: str, choices: list[EngineCandidate]) -> InstanceId | None:
-    """Return the instance nearby that ranks first for an owner, by rendezvous."""
+def _home_instance(owner: str, candidates: list[EngineCandidate]) -> InstanceId | None:
+    """Return the near instance with the highest rendezvous score for an owner."""
     if not owner:
         return None
-    near = [one for one in choices if one.near] or choices
-    return max(near, key=lambda one: _rank(owner, one.instance)).instance
+    near = [candidate for candidate in candidates if candidate.near] or candidates
+    return max(
+        near, key=lambda candidate: _rendezvous_score(owner, candidate.instance)
+    ).instance
 
 
-def _rank(owner: str, instance: InstanceId) -> int:
+def _rendezvous_score(owner: str, instance: InstanceId) -> int:
     return xxhash.xxh32_intdigest(f"{owner}/{instance}".encode())
--- a/sequoiaarch/policies/health.py
+++ b/sequoiaarch/policies/health.py
@@ -1,4 +1,4 @@
-"""Decide which targets are passed over after failures, own ones and reported ones."""
+"""Eject targets that fail, by own requests and by reports of other hosts."""
 
 from __future__ import annotations
 
@@ -11,201 +11,200 @@
 
 log = logbook.Logger("health")
 
-# A target that fails part of its requests is seen after a few; it is tried
-# again when half of what was seen has faded. The second figure is in seconds.
+# Weight of a new result in the moving average of the failure rate, and the half-life
+# of that average in seconds.
 FAILURE_SMOOTHING = 0.15
 FAILURE_HALF_LIFE = 3.0
-# So many hosts must have seen a target fail: one whose own network is bad sees
-# every target fail.
-REPORTERS = 2
-# Failures that lie further apart are taken for the few that every target has.
-# Seconds.
+# Number of hosts that must have seen a target fail: to a host with a broken network
+# every target seems to fail.
+MIN_REPORTERS = 2
+# Failures further apart than this count as sporadic. Seconds.
 REPORT_WINDOW = 1.5
-# A target is passed over for this time, twice as long each time that it fails
-# when it is tried again, up to the limit: most failures end within seconds, and
-# what is passed over for long is missing. Seconds.
-PASS_OVER = 1.0
-PASS_OVER_LIMIT = 8.0
-# One host after the other may try a target again, in an order that changes: a
-# target that still fails costs one request then, not one for each host. A host
-# with little traffic must not keep the others waiting. Seconds.
-RETRY_GAP = 0.2
-# A request that tries a target again is answered or broken off within this time;
-# until then no other one follows it. Seconds.
-TRIAL_SECONDS = 0.5
-# A host repeats a report of the same target no sooner. Seconds.
-REPORT_GAP = 0.2
-# What a host heard of a target itself so lately counts more than what others
-# report: they may be cut off from a target that others reach. Seconds.
-OWN_WORD = 0.2
+# Duration of an ejection, doubled up to the maximum each time that the target fails
+# again when it is probed. Seconds.
+EJECTION_SECONDS = 1.0
+MAX_EJECTION_SECONDS = 8.0
+# Delay between the hosts that may probe an ejected target, in an order that changes:
+# a target that still fails costs one request, not one of each host. Seconds.
+PROBE_STAGGER = 0.2
+# No other request follows a probe within this time. Seconds.
+PROBE_SECONDS = 0.5
+# Minimum interval between reports of the same target. Seconds.
+REPORT_INTERVAL = 0.2
+# Failure reports of other hosts are ignored for this time after a response to this
+# host: they may be cut off from the target. Seconds.
+OWN_RESPONSE_WINDOW = 0.2
+# Failure rate of an ejected target.
 EJECTED = 1.0
-# Targets come and go for as long as a process runs, and reports of one may arrive
-# after it has left. What was learned first goes first.
-MOST_RECORDS = 4096
-# A target that owes the first event of a stream for this many times the route's
-# latency target is taken for silent, where queues are short: callers bear twice as
-# long. Where waits are longer, so much of the longest one of late is added, or full
-# targets would be passed over one after the other.
+# Limit on remembered targets, as reports may arrive after a target has left; the
+# oldest record is dropped first.
+MAX_RECORDS = 4096
+# A target counts as silent without a first event after this many times the route's
+# latency target, plus this many times the longest recent wait, so that busy targets
+# are not ejected one after the other.
 FIRST_EVENT_FACTOR = 4.0
 LONGEST_WAIT_FACTOR = 4.0
-# The same for the next event, in pauses that the route allows: engines that
-# admit others in between exceed one pause now and then.
+# The same for each further event, as a multiple of the pause that the route allows:
+# engines that admit other requests in between may exceed one pause.
 NEXT_EVENT_FACTOR = 2.0
 
 
 @dataclass(kw_only=True)
 class _Record:
-    """Hold what is known of one target; times are on the caller's clock."""
+    """Hold the health of one target; times are on the caller's clock.
 
-    failing: float = 0.0
-    judged: float = 0.0
+    `ejected` holds until the first answer after an ejection. This host may probe the
+    target from `probe_from` on, and again after `probe_until`.
+    """
+
+    failure_rate: float = 0.0
+    updated: float = 0.0
     reports: dict[HostName, float] = field(default_factory=dict)
-    reported: float = float("-inf")
-    until: float = float("-inf")
-    turn: float = float("-inf")
-    pause: float = PASS_OVER
-    on_trial: bool = False
-    trial_until: float = float("-inf")
-    times: int = 0
-    heard: float = float("-inf")
+    report_sent: float = float("-inf")
+    ejected_until: float = float("-inf")
+    probe_from: float = float("-inf")
+    ejection: float = EJECTION_SECONDS
+    ejected: bool = False
+    probe_until: float = float("-inf")
+    ejections: int = 0
+    last_response: float = float("-inf")
 
 
 class TargetHealth:
-    """Judge targets by what this host and its neighbours saw of them.
+    """Track failures of targets and eject targets that several hosts saw fail.
 
-    A target may say that it is well and fail all that it is sent. With many
-    hosts each of them sends it a few requests before it knows: 16 hosts of a
-    data centre lost 38 calls to one target, which can't be repeated. What one
-    host has seen is therefore told to the others that use the same targets.
+    A target may pass its health check and fail all requests. If each host had to find
+    out alone, every host would lose requests, some of which can't be retried. So
+    hosts that use the same targets report failures and recoveries to each other.
     """
 
     def __init__(
         self, *, own: HostName, rank: Callable[[str], int] = lambda name: 0
     ) -> None:
-        """Know nothing; `place` is this host's place among all for a name."""
+        """Start without records; `rank` returns this host's rank for a name."""
         self._own = own
         self._rank = rank
-        # Called when a target is passed over.
+        # Called when a target is ejected.
         self.on_ejected: Callable[[InstanceId], None] = lambda instance: None
         self._records: dict[InstanceId, _Record] = {}
 
     def request_failed(self, instance: InstanceId, now: float) -> bool:
-        """Note that an own request failed; return whether to report it."""
+        """Record a failed request; return whether to report it."""
         record = self._record(instance)
-        record.judged, record.failing = now, self._judge(record, now, 1.0)
-        self._accused(instance, record, self._own, now)
-        if now - record.reported < REPORT_GAP:
+        record.updated, record.failure_rate = now, self._smoothed_rate(record, now, 1.0)
+        self._add_report(instance, record, self._own, now)
+        if now - record.report_sent < REPORT_INTERVAL:
             return False
-        record.reported = now
+        record.report_sent = now
         return True
 
     def request_succeeded(self, instance: InstanceId, now: float) -> bool:
-        """Note that an own request was answered; return whether to report it."""
+        """Record an answered request; return whether to report it."""
         record = self._records.get(instance)
         if record is None:
             return False
-        record.judged, record.failing = now, self._judge(record, now, 0.0)
-        if not record.on_trial or now < record.until:
+        record.updated, record.failure_rate = now, self._smoothed_rate(record, now, 0.0)
+        if not record.ejected or now < record.ejected_until:
             return False
-        self._recovered(instance, record)
+        self._readmit(instance, record)
         return True
 
     def report_received(
         self, instance: InstanceId, host: HostName, *, ok: bool, now: float
     ) -> None:
-        """Take over what another host saw."""
+        """Apply a report of another host."""
         record = self._record(instance)
         if not ok:
-            if now - record.heard > OWN_WORD:
-                self._accused(instance, record, host, now)
-        elif record.on_trial:
-            self._recovered(instance, record)
+            if now - record.last_response > OWN_RESPONSE_WINDOW:
+                self._add_report(instance, record, host, now)
+        elif record.ejected:
+            self._readmit(instance, record)
 
     def response_received(self, instance: InstanceId, now: float) -> None:
-        """Note that a target sent something sound to this host."""
-        self._record(instance).heard = now
+        """Record that a target sent a valid response to this host."""
+        self._record(instance).last_response = now
 
     def request_sent(self, instance: InstanceId, now: float) -> None:
-        """Note that a request goes to a target."""
+        """Record that a request is sent to a target."""
         record = self._records.get(instance)
-        if record is not None and record.on_trial:
-            record.trial_until = now + TRIAL_SECONDS
+        if record is not None and record.ejected:
+            record.probe_until = now + PROBE_SECONDS
 
     def failure_rate(self, instance: InstanceId, now: float) -> float:
-        """Return the share of requests that may fail at a target."""
+        """Return the expected fraction of requests that fail at a target."""
         record = self._records.get(instance)
         if record is None:
             return 0.0
-        if record.on_trial and now < max(record.turn, record.trial_until):
+        if record.ejected and now < max(record.probe_from, record.probe_until):
             return EJECTED
-        return _faded(record, now)
+        return _decayed_rate(record, now)
 
     def forget(self, instance: InstanceId) -> None:
-        """Forget a target that has left."""
+        """Drop the record of a target that has left."""
         self._records.pop(instance, None)
 
     def _record(self, instance: InstanceId) -> _Record:
         found = self._records.get(instance)
         if found is None:
             found = self._records[instance] = _Record()
-            if len(self._records) > MOST_RECORDS:
+            if len(self._records) > MAX_RECORDS:
                 del self._records[next(iter(self._records))]
         return found
 
-    def _judge(self, record: _Record, now: float, seen: float) -> float:
-        before = _faded(record, now)
+    def _smoothed_rate(self, record: _Record, now: float, seen: float) -> float:
+        before = _decayed_rate(record, now)
         return before + FAILURE_SMOOTHING * (seen - before)
 
-    def _accused(
+    def _add_report(
         self, instance: InstanceId, record: _Record, host: HostName, now: float
     ) -> None:
-        """Count a failure that a host saw; pass the target over if it is enough.
+        """Count a failure that a host saw; eject the target if there are enough.
 
-        What fails while the target is passed over was sent before.
+        Requests that fail during an ejection were sent before it.
         """
-        if now < record.until:
+        if now < record.ejected_until:
             return
         record.reports[host] = now
-        lately = [
+        recent = [
             seen for seen in record.reports.values() if seen > now - REPORT_WINDOW
         ]
-        if not record.on_trial and len(lately) < REPORTERS:
+        if not record.ejected and len(recent) < MIN_REPORTERS:
             return
-        if record.on_trial:
-            record.pause = min(2 * record.pause, PASS_OVER_LIMIT)
-        record.on_trial = True
-        record.until = now + record.pause
-        record.times += 1
-        record.turn = record.until + RETRY_GAP * self._rank(
-            f"{instance}/{record.times}"
+        if record.ejected:
+            record.ejection = min(2 * record.ejection, MAX_EJECTION_SECONDS)
+        record.ejected = True
+        record.ejected_until = now + record.ejection
+        record.ejections += 1
+        record.probe_from = record.ejected_until + PROBE_STAGGER * self._rank(
+            f"{instance}/{record.ejections}"
         )
         record.reports.clear()
         self.on_ejected(instance)
         log.info(
-            "target {} is passed over for {:.1f} s: {} hosts saw it fail in {} s",
+            "target {} is ejected for {:.1f} s: {} hosts saw it fail within {} s",
             instance,
-            record.pause,
-            len(lately),
+            record.ejection,
+            len(recent),
             REPORT_WINDOW,
         )
 
-    def _recovered(self, instance: InstanceId, record: _Record) -> None:
-        record.on_trial = False
-        record.until = record.trial_until = float("-inf")
-        record.pause = max(record.pause / 2, PASS_OVER)
+    def _readmit(self, instance: InstanceId, record: _Record) -> None:
+        record.ejected = False
+        record.ejected_until = record.probe_until = float("-inf")
+        record.ejection = max(record.ejection / 2, EJECTION_SECONDS)
         record.reports.clear()
         log.info("target {} is used again", instance)
 
 
 def first_event_due(latency_target: float, longest_wait: float) -> float:
-    """Return the seconds after which a target without a first event is silent."""
+    """Return the seconds without a first event after which a target is silent."""
     return FIRST_EVENT_FACTOR * latency_target + LONGEST_WAIT_FACTOR * longest_wait
 
 
 def next_event_due(pause: float) -> float:
-    """Return the same for the next event, from the pause that a route allows."""
+    """Return the seconds without a further event after which a target is silent."""
     return NEXT_EVENT_FACTOR * pause
 
 
-def _faded(record: _Record, now: float) -> float:
-    return record.failing * 0.5 ** ((now - record.judged) / FAILURE_HALF_LIFE)
+def _decayed_rate(record: _Record, now: float) -> float:
+    return record.failure_rate * 0.5 ** ((now - record.updated) / FAILURE_HALF_LIFE)
--- a/sequoiaarch/policies/order.py
+++ b/sequoiaarch/policies/order.py
@@ -8,15 +8,16 @@
 from ..config.documents import OrderName
 from ..ids import ProgramId
 
-AGEING = 0.25
+# Seconds of attained service that a second of waiting offsets.
+AGEING_RATE = 0.25
 
 
 @dataclass(kw_only=True, eq=False)
 class Ticket:
-    """Describe a call that waits; times in seconds of the event loop.
+    """Describe a waiting call; times are in seconds of the event loop.
 
-    `attained` is the service that the whole program has had so far, in
-    seconds of engine time; `started` says that its prefix was built here.
+    `attained` is the engine time in seconds that the whole program has had so far;
+    `started` tells that its prefix was built at this target.
     """
 
     program: ProgramId
@@ -29,34 +30,34 @@
 
 
 class Order(Protocol):
-    """Rank the calls that wait; the lowest rank runs first."""
+    """Rank waiting calls; the lowest rank runs first."""
 
     def rank(self, ticket: Ticket, now: float) -> float:
         """Return the rank of a call."""
 
 
 class FirstComeOrder:
-    """Run calls in the order in which they came."""
+    """Run calls in order of arrival."""
 
     def rank(self, ticket: Ticket, now: float) -> float:
-        """Return the arrival."""
+        """Return the time of arrival."""
         return ticket.arrived
 
 
-class AttainedOrder:
-    """Run the call first whose whole program has had the least service.
+class LeastAttainedOrder:
+    """Run the call first whose program has attained the least service.
 
-    A program that waits gains on the others, so that none starves.
+    Ageing prevents starvation.
     """
 
     def rank(self, ticket: Ticket, now: float) -> float:
-        """Return the attained service less a share of the wait."""
+        """Return the weighted attained service, reduced by ageing."""
         waited = now - ticket.arrived
-        return ticket.attained / ticket.weight - AGEING * waited * ticket.weight
+        return ticket.attained / ticket.weight - AGEING_RATE * waited * ticket.weight
 
 
 def make_order(name: OrderName) -> Order:
-    """Return the order of a name."""
+    """Return the order policy with the given name."""
     if name is OrderName.ATTAINED:
-        return AttainedOrder()
+        return LeastAttainedOrder()
     return FirstComeOrder()
--- a/sequoiaarch/policies/placement.py
+++ b/sequoiaarch/policies/placement.py
@@ -10,19 +10,24 @@
 from ..ids import TargetName
 from ..wire.messages import Load
 
-CHOICES = 2
-SECONDS_A_CALL = 0.5
-REBUILD_RATE = 20_000.0
+# Targets sampled for a new program.
+SAMPLED_TARGETS = 2
+# Duration of a call at a target that reports none. Seconds.
+DEFAULT_CALL_SECONDS = 0.5
+# Prompt tokens that an engine processes per second.
+PREFILL_RATE = 20_000.0
+# A move must save this many times the time to rebuild the prefix.
 MOVE_MARGIN = 1.5
-REPORT_LIMIT = 1.0
+# Programs do not move to targets with older load reports. Seconds.
+MAX_REPORT_AGE = 1.0
 
 
 @dataclass(frozen=True, kw_only=True)
 class Candidate:
     """Describe a target that could run a call.
 
-    `sent` counts the calls sent since the load was reported; `distance` is
-    the delay to it in seconds, one way, and `age` how old the report is.
+    `sent` counts the calls sent since the load report, `distance` is the one-way
+    network delay and `age` the age of the report, both in seconds.
     """
 
     target: TargetName
@@ -33,15 +38,15 @@
     age: float = 0.0
 
     @property
-    def busy(self) -> float:
-        """Return the calls at the target for each of its slots."""
+    def calls_per_slot(self) -> float:
+        """Return the running and queued calls per slot."""
         load = self.load
         calls = self.sent + (load.running + load.queued if load else 0)
         return calls / self.slots
 
     @property
     def expected_wait(self) -> float:
-        """Return the seconds that a new call is expected to wait."""
+        """Return the expected wait of a new call in seconds."""
         load = self.load
         queued = self.sent + (load.queued if load else 0)
         free = self.slots - (load.running if load else 0)
@@ -49,13 +54,13 @@
 
     @property
     def call_seconds(self) -> float:
-        """Return the seconds that a call takes there."""
+        """Return the duration of a call at the target in seconds."""
         known = self.load.call_seconds if self.load else 0.0
-        return known or SECONDS_A_CALL
+        return known or DEFAULT_CALL_SECONDS
 
     @property
-    def crowd(self) -> float:
-        """Return how many programs live at the target, for each slot."""
+    def programs_per_slot(self) -> float:
+        """Return the programs at the target per slot."""
         programs = self.load.programs if self.load else 0
         return (programs + self.sent) / self.slots
 
@@ -78,26 +83,26 @@
 
 
 class Placement(Protocol):
-    """Choose among candidates; there is always at least one."""
+    """Choose among at least one candidate."""
 
     def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return the target that should run the call."""
 
 
 class RandomPlacement:
-    """Choose any target for every call."""
+    """Choose a random target for every call."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
-        """Return any target."""
+        """Return a random target."""
         target = self._rng.choice(candidates).target
         return Choice(target=target, reason="chosen at random")
 
 
 class LeastLoadedPlacement:
-    """Choose the target with the fewest calls for every call."""
+    """Choose the target with the fewest calls per slot for every call."""
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
@@ -105,50 +110,59 @@
     def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return the least loaded target."""
         shuffled = self._rng.sample(candidates, len(candidates))
-        best = min(shuffled, key=lambda one: one.busy)
-        return Choice(target=best.target, reason=f"least loaded, {best.busy:.2f}")
+        best = min(shuffled, key=lambda candidate: candidate.calls_per_slot)
+        return Choice(
+            target=best.target, reason=f"least loaded, {best.calls_per_slot:.2f}"
+        )
 
 
 class StickyPlacement:
-    """Stay at the first target, which was the least loaded at the start."""
+    """Keep a program at its first target, the least loaded one at its start."""
 
     def __init__(self, *, rng: random.Random) -> None:
-        self._first = LeastLoadedPlacement(rng=rng)
+        self._initial = LeastLoadedPlacement(rng=rng)
 
     def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
         """Return the home, or the least loaded target for a new program."""
-        if any(one.target == request.home for one in candidates):
+        if any(candidate.target == request.home for candidate in candidates):
             assert request.home is not None
             return Choice(target=request.home, reason="stays at its first target")
-        return self._first.choose(request, candidates)
+        return self._initial.choose(request, candidates)
 
 
 class AffinityPlacement:
-    """Stay where the prefix is cached unless waiting costs more than moving.
+    """Keep a program where its prefix is cached unless waiting costs more than moving.
 
-    A new program goes to the less crowded of two targets drawn at random, so
-    that gateways with stale reports do not all choose the same one.
+    A new program goes to the better of two random targets, so that gateways with
+    stale load reports do not all choose the same one.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
 
     def choose(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
-        """Return the home or a better place."""
-        home = next((one for one in candidates if one.target == request.home), None)
+        """Return the home, or a target that is worth moving to."""
+        home = next(
+            (candidate for candidate in candidates if candidate.target == request.home),
+            None,
+        )
         if home is None:
-            return self._start(request, candidates)
-        # An old report shows a queue that has filled since: programs that
-        # follow it all move to the same place and wait there.
+            return self._choose_initial(request, candidates)
+        # With stale load reports many programs would move to the same target.
         others = [
-            one for one in candidates if one is not home and one.age < REPORT_LIMIT
+            candidate
+            for candidate in candidates
+            if candidate is not home and candidate.age < MAX_REPORT_AGE
         ]
         if not others:
-            return Choice(target=home.target, reason="nothing better is known")
-        best = min(others, key=lambda one: one.expected_wait + one.distance)
-        # The weight of latency scales what moving costs: with weight 0 a
-        # prefix is never thrown away to save waiting.
-        rebuild = request.context_tokens / REBUILD_RATE
+            return Choice(
+                target=home.target, reason="no other target has a recent load report"
+            )
+        best = min(
+            others, key=lambda candidate: candidate.expected_wait + candidate.distance
+        )
+        # With a latency weight of 0 a prefix is never given up to save waiting.
+        rebuild = request.context_tokens / PREFILL_RATE
         gain = (home.expected_wait - best.expected_wait) * request.latency_weight
         if gain > MOVE_MARGIN * rebuild + best.distance + best.call_seconds:
             reason = f"waits {gain:.2f} s less there, rebuild takes {rebuild:.2f} s"
@@ -156,22 +170,30 @@
         reason = f"prefix of {request.context_tokens} tokens is cached there"
         return Choice(target=home.target, reason=reason)
 
-    def _start(self, request: PlacementRequest, candidates: list[Candidate]) -> Choice:
-        drawn = self._rng.sample(candidates, min(CHOICES, len(candidates)))
-        best = min(drawn, key=self._score)
-        names = ", ".join(f"{one.target} {self._score(one):.2f}" for one in drawn)
+    def _choose_initial(
+        self, request: PlacementRequest, candidates: list[Candidate]
+    ) -> Choice:
+        sampled = self._rng.sample(candidates, min(SAMPLED_TARGETS, len(candidates)))
+        best = min(sampled, key=self._score)
+        names = ", ".join(
+            f"{candidate.target} {self._score(candidate):.2f}" for candidate in sampled
+        )
         return Choice(target=best.target, reason=f"best score of {names}")
 
-    def _score(self, one: Candidate) -> float:
-        return one.expected_wait + one.distance + one.crowd * SECONDS_A_CALL
+    def _score(self, candidate: Candidate) -> float:
+        return (
+            candidate.expected_wait
+            + candidate.distance
+            + candidate.programs_per_slot * DEFAULT_CALL_SECONDS
+        )
 
 
 def make_placement(name: PlacementName, rng: random.Random) -> Placement:
-    """Return the placement of a name."""
-    kinds: dict[PlacementName, type[Placement]] = {
+    """Return the placement policy with the given name."""
+    classes: dict[PlacementName, type[Placement]] = {
         PlacementName.AFFINITY: AffinityPlacement,
         PlacementName.STICKY: StickyPlacement,
         PlacementName.LEAST_LOADED: LeastLoadedPlacement,
         PlacementName.RANDOM: RandomPlacement,
     }
-    return kinds[name](rng=rng)  # type: ignore[call-arg]
+    return classes[name](rng=rng)  # type: ignore[call-arg]
--- a/sequoiaarch/policies/retention.py
+++ b/sequoiaarch/policies/retention.py
@@ -9,9 +9,13 @@
 from ..config.documents import RetentionName
 from ..ids import ProgramId
 
-FIRST_PAUSE = 2.0
-LEARNING = 0.2
-LONG_PAUSE_FACTOR = 4.0
+# Expected pause of programs without observations. Seconds.
+DEFAULT_PAUSE = 2.0
+# Weight of a new observation in the exponential moving average.
+SMOOTHING = 0.2
+# A program that exceeds its expected pause is expected to be idle for this many times
+# as long as it has been.
+OVERDUE_FACTOR = 4.0
 
 
 @dataclass(kw_only=True)
@@ -27,7 +31,7 @@
 
 
 class Removal(Enum):
-    """Say how a prefix leaves engine memory."""
+    """Name the ways in which a prefix leaves engine memory."""
 
     EXPORT = "export"
     DROP = "drop"
@@ -35,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Victim:
-    """Name a prefix that has to leave."""
+    """Name a prefix to evict, how and why."""
 
     program: ProgramId
     removal: Removal
@@ -43,93 +47,93 @@
 
 
 class PauseEstimator:
-    """Learn how long programs of each name pause between calls."""
+    """Estimate how long programs of each name pause between calls."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
     def record(self, name: str, pause: float) -> None:
-        """Take in one pause, in seconds."""
+        """Add an observed pause, in seconds."""
         mean = self._means.get(name, pause)
-        self._means[name] = mean + LEARNING * (pause - mean)
+        self._means[name] = mean + SMOOTHING * (pause - mean)
 
     def expected(self, name: str) -> float:
         """Return the expected pause in seconds."""
-        return self._means.get(name, FIRST_PAUSE)
+        return self._means.get(name, DEFAULT_PAUSE)
 
 
 class Retention(Protocol):
-    """Choose what leaves memory before a call needs room."""
+    """Choose prefixes to evict before a call needs memory."""
 
     def victims(self, prefixes: list[Prefix], needed: int, now: float) -> list[Victim]:
-        """Return what must leave to free the needed tokens."""
+        """Return the prefixes to evict to free the needed tokens."""
 
 
 class EngineRetention:
-    """Leave it to the engine."""
+    """Leave eviction to the engine."""
 
     def victims(self, prefixes: list[Prefix], needed: int, now: float) -> list[Victim]:
-        """Return nothing."""
+        """Return no prefixes."""
         return []
 
 
 class PredictedRetention:
-    """Export the prefix whose program is expected back last."""
+    """Export the prefixes whose programs are expected to call last."""
 
     def __init__(self, *, pauses: PauseEstimator) -> None:
         self._pauses = pauses
 
     def victims(self, prefixes: list[Prefix], needed: int, now: float) -> list[Victim]:
-        """Return prefixes by expected return, the latest first."""
+        """Return idle prefixes, the latest expected call first."""
         idle = [one for one in prefixes if not one.running and not one.exported]
-        idle.sort(key=lambda one: self._returns_in(one, now), reverse=True)
+        idle.sort(key=lambda one: self._expected_return(one, now), reverse=True)
         chosen: list[Victim] = []
         for prefix in idle:
             if needed <= 0:
                 break
             needed -= prefix.tokens
-            due = self._returns_in(prefix, now)
+            due = self._expected_return(prefix, now)
             reason = f"expected back in {due:.1f} s, later than the others"
             chosen.append(
                 Victim(program=prefix.program, removal=Removal.EXPORT, reason=reason)
             )
         return chosen
 
-    def _returns_in(self, prefix: Prefix, now: float) -> float:
+    def _expected_return(self, prefix: Prefix, now: float) -> float:
         """Return the seconds until the program is expected to call again.
 
-        One that is overdue becomes ever less likely to return soon.
+        The longer a program is overdue, the later it is expected.
         """
         expected = self._pauses.expected(prefix.name)
         paused = now - prefix.last_used
         if paused <= expected:
             return expected - paused
-        return paused * LONG_PAUSE_FACTOR
+        return paused * OVERDUE_FACTOR
 
 
 def make_retention(name: RetentionName, pauses: PauseEstimator) -> Retention:
-    """Return the retention of a name."""
+    """Return the retention policy with the given name."""
     if name is RetentionName.PREDICTED:
         return PredictedRetention(pauses=pauses)
     return EngineRetention()
 
 
 class PrefixTable:
-    """Know what prefixes an engine is believed to hold."""
+    """Track the prefixes that an engine is assumed to hold."""
 
     def __init__(self) -> None:
         self._prefixes: dict[ProgramId, Prefix] = {}
 
     def get(self, program: ProgramId) -> Prefix | None:
-        """Return the prefix of a program."""
+        """Return the prefix of a program, if any."""
         return self._prefixes.get(program)
 
     def put(self, prefix: Prefix) -> None:
-        """Keep or replace a prefix."""
+        """Add or replace a prefix."""
         self._prefixes[prefix.program] = prefix
 
     def remove(self, program: ProgramId) -> None:
-        """Forget a prefix."""
+        """Remove the prefix of a program, if any."""
         self._prefixes.pop(program, None)
 
     @property
@@ -144,7 +148,7 @@
 
     @property
     def running_tokens(self) -> int:
-        """Return the tokens of prefixes whose calls are under way."""
+        """Return the tokens of prefixes with running calls."""
         return sum(one.tokens for one in self._prefixes.values() if one.running)
 
     @property
--- a/sequoiaarch/policies/retries.py
+++ b/sequoiaarch/policies/retries.py
@@ -1,40 +1,40 @@
-"""Bound how many requests are sent a second time."""
+"""Limit retries."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-# One request in ten may be repeated, and some more in a row: a service that
-# loses a few answers is helped, and one that is slow for all is not doubled.
+# Retries allowed for each request, and in a burst: they cover a few lost answers and
+# do not double the load of a slow service.
 RETRY_SHARE = 0.1
 RETRY_BURST = 10.0
-# An idempotent request whose answer takes this many times the route's target
-# is sent to another target; its first one has likely lost it.
+# An idempotent request without an answer after this many times the route's latency
+# target is sent to another target.
 ATTEMPT_TIMEOUT_FACTOR = 2.5
 
 
 class RetryPolicy(Protocol):
-    """Decide whether a request may be sent once more."""
+    """Decide whether a request may be retried."""
 
     def request_started(self) -> None:
-        """Note a request that is sent for the first time."""
+        """Count a first attempt."""
 
     def take(self) -> bool:
-        """Return whether one may be sent again, and count it."""
+        """Return whether a retry is allowed, and count it if so."""
 
 
 class RetryBudget:
-    """Allow repeats as a share of the requests."""
+    """Limit retries to a fraction of the requests by a token bucket."""
 
     def __init__(self) -> None:
         self._tokens = RETRY_BURST
 
     def request_started(self) -> None:
-        """Note a request that is sent for the first time."""
+        """Refill the bucket for a first attempt."""
         self._tokens = min(RETRY_BURST, self._tokens + RETRY_SHARE)
 
     def take(self) -> bool:
-        """Return whether one may be sent again, and count it."""
+        """Take a token if there is one; return whether there was."""
         if self._tokens < 1:
             return False
         self._tokens -= 1
@@ -42,5 +42,5 @@
 
 
 def attempt_timeout(latency_target: float) -> float:
-    """Return the seconds to wait for an answer before another target is asked."""
+    """Return the seconds to wait for an answer before another target is tried."""
     return ATTEMPT_TIMEOUT_FACTOR * latency_target
--- a/sequoiaarch/policies/starts.py
+++ b/sequoiaarch/policies/starts.py
@@ -7,26 +7,23 @@
 
 import msgspec
 
-# Callers that are refused come back in a spread of times, or they would all
-# meet the same full engines again. Seconds.
-RETURN_SOONEST = 0.3
-RETURN_LATEST = 0.9
-# A turn of an idle engine takes about 0.25 s, and programs may take 1.2 to 1.6
-# times as long as on idle engines: waiting longer than this on each turn makes
-# them late. Seconds.
-WAIT_LIMIT = 0.12
-# What a turn takes on an idle engine, with what the program does between two turns.
-# Seconds.
+# Range of the random delay after which refused callers should retry, so that they do
+# not all return at once. Seconds.
+MIN_RETRY_DELAY = 0.3
+MAX_RETRY_DELAY = 0.9
+# A longer wait on each turn would make programs miss their deadlines. Seconds.
+MAX_WAIT = 0.12
+# Time of a turn on an idle engine, and of the program until the next one. Seconds.
 TURN_SECONDS = 0.2
-# Programs may take this much longer than on idle engines, where aims are tight.
-SLACK_PART = 0.25
+# Fraction by which a tight deadline exceeds the time on idle engines.
+SLACK_FRACTION = 0.25
 
 
 class Start(msgspec.Struct, frozen=True, kw_only=True):
     """Describe a program's first request and the engine it would go to.
 
-    `wait` is the time that it is expected to wait there, `left` that to the aim of
-    the program, if it names one, `latency_target` that of the request. Seconds.
+    `wait` is the expected wait there, `left` the time to the program's deadline, if
+    it has one, and `latency_target` that of the request. Seconds.
     """
 
     wait: float
@@ -35,13 +32,13 @@
 
 
 class StartPolicy(Protocol):
-    """Decide about the first request of a program."""
+    """Decide whether a program may start."""
 
     def refuse(self, start: Start) -> float | None:
-        """Return the seconds after which to come back; None to let it start."""
+        """Return the seconds after which to retry, or None to let it start."""
 
 
-class OpenStarts:
+class UnlimitedStarts:
     """Let every program start."""
 
     def refuse(self, start: Start) -> float | None:
@@ -50,48 +47,44 @@
 
 
 class BoundedWait:
-    """Refuse new programs while requests wait for long at every engine.
+    """Refuse new programs while the wait at every engine exceeds a limit.
 
-    Above its capacity a service that takes every program makes all of them
-    late, those that are nearly done included. A program that has not begun
-    loses least by coming back, and may still end in time. Where two engines of
-    five were left, callers got 63 to 69 % of what their programs were worth with
-    the limit and 40 to 48 % without it, in three and two runs of the same load.
+    An overloaded service that takes every program makes all of them late. Programs
+    that have not started yet lose least by a later retry.
     """
 
-    def __init__(self, *, rng: random.Random, limit: float = WAIT_LIMIT) -> None:
+    def __init__(self, *, rng: random.Random, limit: float = MAX_WAIT) -> None:
         self._rng = rng
         self._limit = limit
 
     def refuse(self, start: Start) -> float | None:
-        """Return a time to come back where the wait is over the limit."""
+        """Return a retry delay if the wait exceeds the limit."""
         if start.wait <= self._limit:
             return None
-        return self._rng.uniform(RETURN_SOONEST, RETURN_LATEST)
+        return self._rng.uniform(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
 
 
 class DeadlineBoundedWait:
-    """Refuse new programs whose turns would wait for longer than their aim bears.
+    """Refuse new programs whose turns would wait too long for their deadline.
 
-    Answers a burst on engines that are full for seconds: programs of many turns
-    wait at each of them, and begun ones are late together with those that were
-    begun before them. The time to its aim says about how many turns a program has.
+    During a burst programs with many turns wait at each of them. The number of turns
+    is estimated from the time to the deadline.
     """
 
     def __init__(self, *, rng: random.Random) -> None:
         self._rng = rng
 
     def refuse(self, start: Start) -> float | None:
-        """Return a time to come back where the wait is over what the aim bears."""
-        if start.wait <= bearable_wait(start):
+        """Return a retry delay if the wait exceeds what the deadline allows."""
+        if start.wait <= max_turn_wait(start):
             return None
-        return self._rng.uniform(RETURN_SOONEST, RETURN_LATEST)
+        return self._rng.uniform(MIN_RETRY_DELAY, MAX_RETRY_DELAY)
 
 
-def bearable_wait(start: Start) -> float:
-    """Return how long each turn may wait for the program to end in time, in seconds."""
+def max_turn_wait(start: Start) -> float:
+    """Return the seconds that each turn may wait if the program is to end in time."""
     if not start.left:
-        return WAIT_LIMIT
+        return MAX_WAIT
     turns = max(1.0, start.left / TURN_SECONDS)
-    bearable = SLACK_PART * TURN_SECONDS + start.latency_target / turns
-    return min(WAIT_LIMIT, bearable)
+    allowed = SLACK_FRACTION * TURN_SECONDS + start.latency_target / turns
+    return min(MAX_WAIT, allowed)
--- a/sequoiaarch/policies/urgency.py
+++ b/sequoiaarch/policies/urgency.py
@@ -1,4 +1,4 @@
-"""Rank requests at the engines by what their programs are still worth."""
+"""Choose the priority of requests at engines."""
 
 from __future__ import annotations
 
@@ -6,22 +6,21 @@
 
 import msgspec
 
-# Engines admit lower numbers first, from 0 to 9, and interrupt running
-# requests of higher ones for them.
-FIRST = 2
+# Engine priorities from 0 to 9: engines admit lower numbers first and interrupt
+# running requests with higher ones for them.
+ON_TIME = 2
 LATE = 7
-LAST = 9
-# A program that has used this share of its budget will be refused before it
-# can end: budgets are set for the most that all turns may generate, of which
-# they use about a quarter.
-SPENT_SHARE = 0.5
+LOWEST = 9
+# A program that has spent more than this fraction of its budget is likely to exhaust
+# it: budgets allow for answers of maximum length, which most answers do not reach.
+MAX_SPENT_FRACTION = 0.5
 
 
 class ProgramProgress(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how a program stands; `left` is the time to its aim, in seconds.
+    """Describe the progress of a program.
 
-    Rank 0 is the most urgent kind of program, `spent` the share of its budget
-    that it has used.
+    `left` is the time to its deadline in seconds, if it has one, and `spent` the used
+    fraction of its budget. Rank 0 is the most urgent.
     """
 
     rank: int
@@ -30,34 +29,32 @@
 
 
 class Urgency(Protocol):
-    """Give a request its urgency at an engine."""
+    """Choose the engine priority of a request."""
 
     def of(self, progress: ProgramProgress) -> int:
-        """Return the urgency, 0 first and 9 last."""
+        """Return the priority from 0, the first, to 9."""
 
 
 class RankUrgency:
-    """Go by the rank of the route alone."""
+    """Use the rank of the route as priority."""
 
     def of(self, progress: ProgramProgress) -> int:
         """Return the rank."""
-        return min(progress.rank, LAST)
+        return min(progress.rank, LOWEST)
 
 
 class DeadlineUrgency:
-    """Put programs behind that can no longer end in time, or not at all.
+    """Serve programs last that will miss their deadline or exhaust their budget.
 
-    After an outage engines are full of programs that are late already. Served
-    in the order of their arrival, they make all others late too. Programs
-    that are in time are equal whatever their rank: ranks made full engines
-    interrupt 770 to 1,300 running requests of 6,000, whose prompts they then
-    read again, and equal ones 5 to 60.
+    Otherwise late programs, such as those after an outage, make all others late too.
+    Ranks are ignored: with different priorities full engines interrupt many running
+    requests and have to process their prompts again.
     """
 
     def of(self, progress: ProgramProgress) -> int:
-        """Return one of three places."""
-        if progress.spent > SPENT_SHARE:
-            return LAST
+        """Return one of three priorities."""
+        if progress.spent > MAX_SPENT_FRACTION:
+            return LOWEST
         if progress.left is not None and progress.left <= 0:
             return LATE
-        return FIRST
+        return ON_TIME
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -14,11 +14,11 @@
 from ...ids import HostName, InstanceId
 from ...policies.engines import EngineCandidate, NearestFree, PromptShape
 from ...policies.health import (
-    MOST_RECORDS,
-    PASS_OVER,
-    PASS_OVER_LIMIT,
+    EJECTION_SECONDS,
+    MAX_EJECTION_SECONDS,
+    MAX_RECORDS,
+    MIN_REPORTERS,
     REPORT_WINDOW,
-    REPORTERS,
     TargetHealth,
 )
 
@@ -132,7 +132,7 @@
             with self.subTest(hosts=hosts, seed=seed):
                 tries = 3
                 under_way = 3
-                self.assertLessEqual(fleet.failed, REPORTERS + tries + under_way)
+                self.assertLessEqual(fleet.failed, MIN_REPORTERS + tries + under_way)
 
     def test_naive_fleet_loses_more_the_larger_it_is(self) -> None:
         """Show what each host loses that learns from its own requests alone."""
@@ -150,7 +150,7 @@
         for seed in range(5):
             fleet = _Fleet(hosts=100)
             fleet.play(seed)
-            back = FAILING_SECONDS + PASS_OVER_LIMIT / 2
+            back = FAILING_SECONDS + MAX_EJECTION_SECONDS / 2
             after = [at for at in fleet.near if at > back]
             with self.subTest(seed=seed):
                 expected = RATE * (DAY_SECONDS - back)
@@ -203,9 +203,9 @@
     def test_memory_is_bounded(self) -> None:
         """Forget old targets where reports of ever new ones arrive."""
         health = TargetHealth(own=HostName("own"))
-        for number in range(MOST_RECORDS + 10):
+        for number in range(MAX_RECORDS + 10):
             health.response_received(InstanceId(f"i-{number}"), float(number))
-        self.assertEqual(len(health._records), MOST_RECORDS)
+        self.assertEqual(len(health._records), MAX_RECORDS)
 
     def test_pauses_grow_while_a_target_fails_and_end_with_an_answer(self) -> None:
         """Try again after 1, 2, 4 and 8 seconds at most, and forget at an answer."""
@@ -213,11 +213,16 @@
         now = 0.0
         for host in ("a", "b"):
             health.report_received(NEAR, HostName(host), ok=False, now=now)
-        for pause in (PASS_OVER, 2 * PASS_OVER, 4 * PASS_OVER, PASS_OVER_LIMIT):
+        for pause in (
+            EJECTION_SECONDS,
+            2 * EJECTION_SECONDS,
+            4 * EJECTION_SECONDS,
+            MAX_EJECTION_SECONDS,
+        ):
             self.assertEqual(health.failure_rate(NEAR, now + pause - 0.01), 1.0)
             now += pause
             self.assertLess(health.failure_rate(NEAR, now), 1.0)
             health.request_failed(NEAR, now)
-        now += PASS_OVER_LIMIT
+        now += MAX_EJECTION_SECONDS
         self.assertTrue(health.request_succeeded(NEAR, now))
         self.assertLess(health.failure_rate(NEAR, now), 1.0)
--- a/sequoiaarch/tests/policies/policy_tests.py
+++ b/sequoiaarch/tests/policies/policy_tests.py
@@ -8,7 +8,7 @@
 from ...config.documents import PlacementName
 from ...ids import ProgramId, TargetName
 from ...policies.admission import Occupancy, OpenAdmission, WorkingSetAdmission
-from ...policies.order import AttainedOrder, FirstComeOrder, Ticket
+from ...policies.order import FirstComeOrder, LeastAttainedOrder, Ticket
 from ...policies.placement import Candidate, PlacementRequest, make_placement
 from ...policies.retention import PauseEstimator, PredictedRetention, Prefix
 from ...wire.messages import Load
@@ -87,21 +87,21 @@
 
     def test_least_attained_goes_first(self) -> None:
         """Prefer the program that has had less service."""
-        order = AttainedOrder()
+        order = LeastAttainedOrder()
         new = Ticket(program=P, arrived=5.0, attained=0.1)
         old = Ticket(program=P, arrived=4.0, attained=9.0)
         self.assertLess(order.rank(new, 6.0), order.rank(old, 6.0))
 
     def test_nothing_starves(self) -> None:
         """Let a program that waits come first in the end."""
-        order = AttainedOrder()
+        order = LeastAttainedOrder()
         old = Ticket(program=P, arrived=0.0, attained=9.0)
         new = Ticket(program=P, arrived=60.0, attained=0.0)
         self.assertLess(order.rank(old, 60.0), order.rank(new, 60.0))
 
     def test_weight(self) -> None:
         """Prefer the program with the higher priority."""
-        order = AttainedOrder()
+        order = LeastAttainedOrder()
         high = Ticket(program=P, arrived=0.0, attained=2.0, weight=4.0)
         low = Ticket(program=P, arrived=0.0, attained=2.0)
         self.assertLess(order.rank(high, 0.0), order.rank(low, 0.0))
--- a/sequoiaarch/tests/policies/worst_load_tests.py
+++ b/sequoiaarch/tests/policies/worst_load_tests.py
@@ -18,14 +18,14 @@
     PromptShape,
 )
 from ...policies.starts import (
-    RETURN_LATEST,
-    RETURN_SOONEST,
-    WAIT_LIMIT,
+    MAX_RETRY_DELAY,
+    MAX_WAIT,
+    MIN_RETRY_DELAY,
     BoundedWait,
     DeadlineBoundedWait,
-    OpenStarts,
     Start,
     StartPolicy,
+    UnlimitedStarts,
 )
 from ...policies.urgency import DeadlineUrgency, ProgramProgress, RankUrgency
 
@@ -320,16 +320,16 @@
     def test_refuses_when_all_wait(self) -> None:
         """Send new programs back, at different times, while engines are full."""
         policy = BoundedWait(rng=random.Random(3))
-        returns = {policy.refuse(Start(wait=2 * WAIT_LIMIT)) for _ in range(50)}
+        returns = {policy.refuse(Start(wait=2 * MAX_WAIT)) for _ in range(50)}
         self.assertGreater(len(returns), 40)
         for wait in returns:
             assert wait is not None
-            self.assertTrue(RETURN_SOONEST <= wait <= RETURN_LATEST)
+            self.assertTrue(MIN_RETRY_DELAY <= wait <= MAX_RETRY_DELAY)
 
     def test_starts_while_there_is_room(self) -> None:
         """Refuse nothing while an engine has room."""
-        for policy in (BoundedWait(rng=random.Random(3)), OpenStarts()):
-            self.assertIsNone(policy.refuse(Start(wait=WAIT_LIMIT / 2)))
+        for policy in (BoundedWait(rng=random.Random(3)), UnlimitedStarts()):
+            self.assertIsNone(policy.refuse(Start(wait=MAX_WAIT / 2)))
 
     def test_programs_begin_above_capacity(self) -> None:
         """End more programs in time than with one limit for all.
@@ -342,12 +342,12 @@
             rng = random.Random(seed)
             by_aim = ended_in_time(DeadlineBoundedWait(rng=rng), seed)
             fixed = ended_in_time(BoundedWait(rng=rng), seed)
-            opened = ended_in_time(OpenStarts(), seed)
+            opened = ended_in_time(UnlimitedStarts(), seed)
             self.assertGreater(by_aim, fixed)
             self.assertGreater(fixed, opened)
 
     def test_no_aim(self) -> None:
         """Bear the usual wait where a program names no aim."""
         policy = DeadlineBoundedWait(rng=random.Random(3))
-        self.assertIsNone(policy.refuse(Start(wait=WAIT_LIMIT)))
-        self.assertIsNotNone(policy.refuse(Start(wait=1.01 * WAIT_LIMIT)))
+        self.assertIsNone(policy.refuse(Start(wait=MAX_WAIT)))
+        self.assertIsNotNone(policy.refuse(Start(wait=1.01 * MAX_WAIT)))
