--- a/sequoiaarch/policies/retries.py
+++ b/sequoiaarch/policies/retries.py
@@ -6,7 +6,7 @@
 
 # Retries allowed for each request, and in a burst: they cover a few lost answers and
 # do not double the load of a slow service.
-RETRY_SHARE = 0.1
+RETRY_RATIO = 0.1
 RETRY_BURST = 10.0
 # An idempotent request without an answer after this many times the route's latency
 # target is sent to another target.
@@ -31,7 +31,7 @@
 
     def request_started(self) -> None:
         """Refill the bucket for a first attempt."""
-        self._tokens = min(RETRY_BURST, self._tokens + RETRY_SHARE)
+        self._tokens = min(RETRY_BURST, self._tokens + RETRY_RATIO)
 
     def take(self) -> bool:
         """Take a token if there is one; return whether there was."""
--- a/sequoiaarch/tests/platform/path_tests.py
+++ b/sequoiaarch/tests/platform/path_tests.py
@@ -8,7 +8,7 @@
 from ...ids import ServiceName
 from ...ledger.terms import TurnContent
 from ...ledger.turns import LocalTurn
-from ...policies.retries import RETRY_BURST, RETRY_SHARE
+from ...policies.retries import RETRY_BURST, RETRY_RATIO
 from ...standins.target import TargetExchange, chunk, stream_head, whole_answer
 from .site import (
     ENGINES,
@@ -153,7 +153,7 @@
         for _ in range(calls):
             self.assertEqual((await self.call(daemon, "/safe/x")).status, 502)
         sent = sum(len(one.exchanges) for one in targets)
-        self.assertLessEqual(sent, calls + RETRY_BURST + RETRY_SHARE * calls)
+        self.assertLessEqual(sent, calls + RETRY_BURST + RETRY_RATIO * calls)
         self.assertGreater(sent, calls)
 
     async def test_route_timeout(self) -> None:
