--- a/sequoiaarch/tests/policies/__init__.py
+++ b/sequoiaarch/tests/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Test package policies."""
+"""Test the policies."""
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -1,4 +1,4 @@
-"""Replay targets that fail all they are sent, seen by many hosts at once."""
+"""Test the ejection of targets that fail, by single hosts and a simulated fleet."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 NEAR = InstanceId("near")
 FAR = InstanceId("far")
 SLOTS = 6
-# Requests to a service of one data centre, a second; the time until a report
-# reaches the other hosts, and until a request is answered. Seconds.
+# Requests per second to a service of one data centre; the delay of a report to other
+# hosts and of an answer, in seconds.
 RATE = 40.0
 REPORT_SECONDS = 0.003
 ANSWER_SECONDS = 0.03
 FAILING_SECONDS = 6.4
-DAY_SECONDS = 15.0
+RUN_SECONDS = 15.0
 
 
-# When, a running number, the host, whether it was served, whether it is a report.
+# Time, sequence number, host, whether the request succeeded, whether it is a report.
 _Event = tuple[float, int, int, bool, bool]
 
 
-def _choices(health: TargetHealth, now: float) -> list[EngineCandidate]:
-    """Return both targets, idle, as a host knows them."""
+def _candidates(health: TargetHealth, now: float) -> list[EngineCandidate]:
+    """Return both targets, idle, with the failure rates that a host knows."""
     return [
         EngineCandidate(
             instance=name,
@@ -54,145 +54,135 @@
 
 @dataclass
 class _Fleet:
-    """Hold hosts that share a near target, and tell each other what they see."""
+    """Simulate hosts that use the same near target and send each other reports."""
 
     hosts: int
-    shares: bool = True
-    blind: frozenset[int] = frozenset()
+    sends_reports: bool = True
+    partitioned: frozenset[int] = frozenset()
     healths: list[TargetHealth] = field(default_factory=list)
     failed: int = 0
     messages: int = 0
-    near: list[float] = field(default_factory=list)
+    near_requests: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Make the hosts; each knows all of them, so that their places agree."""
+        """Create the hosts; each knows all others, so that their ranks agree."""
         names = [HostName(f"h{number}") for number in range(self.hosts)]
         self.healths = [
             TargetHealth(own=name, rank=partial(place_of, name, hosts=names))
             for name in names
         ]
 
-    def play(self, seed: int) -> None:
-        """Send requests through all hosts for a while; the near target fails first."""
+    def run(self, seed: int) -> None:
+        """Send requests through all hosts; at first the near target fails them."""
         rng = random.Random(seed)
         policy = NearestFree(rng=rng)
         events: list[_Event] = []
         order = itertools.count()
         now = 0.0
-        while now < DAY_SECONDS:
+        while now < RUN_SECONDS:
             now += rng.expovariate(RATE)
             while events and events[0][0] <= now:
-                self._happens(events, order)
+                self._handle_event(events, order)
             number = rng.randrange(self.hosts)
             health = self.healths[number]
-            chosen, _ = policy.choose(PromptShape(parts=()), _choices(health, now))
+            chosen, _ = policy.choose(PromptShape(parts=()), _candidates(health, now))
             health.request_sent(chosen, now)
             if chosen is not NEAR:
                 continue
-            self.near.append(now)
-            ok = now > FAILING_SECONDS and number not in self.blind
+            self.near_requests.append(now)
+            ok = now > FAILING_SECONDS and number not in self.partitioned
             self.failed += not ok
             answered = now + (ANSWER_SECONDS if ok else 0.001)
             heapq.heappush(events, (answered, next(order), number, ok, False))
 
-    def _happens(self, events: list[_Event], order: Iterator[int]) -> None:
-        at, _, number, ok, report = heapq.heappop(events)
+    def _handle_event(self, events: list[_Event], order: Iterator[int]) -> None:
+        time, _, number, ok, report = heapq.heappop(events)
         if report:
             for other in range(self.hosts):
                 if other != number:
                     self.messages += 1
                     host = HostName(f"h{number}")
-                    self.healths[other].report_received(NEAR, host, ok=ok, now=at)
+                    self.healths[other].report_received(NEAR, host, ok=ok, now=time)
             return
         health = self.healths[number]
-        tell = (
-            health.request_succeeded(NEAR, at)
+        should_report = (
+            health.request_succeeded(NEAR, time)
             if ok
-            else health.request_failed(NEAR, at)
+            else health.request_failed(NEAR, time)
         )
-        if tell and self.shares:
-            told = at + REPORT_SECONDS
-            heapq.heappush(events, (told, next(order), number, ok, True))
+        if should_report and self.sends_reports:
+            delivered = time + REPORT_SECONDS
+            heapq.heappush(events, (delivered, next(order), number, ok, True))
 
 
 class TargetHealthTests(unittest.TestCase):
-    """Play a target that is well by its own word and fails every request."""
+    """Test a target that passes its health check and fails every request."""
 
-    def test_fleet_of_any_size_loses_a_few_requests(self) -> None:
-        """Lose two requests until all hosts know, and one for each new try.
-
-        A target resets all requests for 6.4 s. Each host sends it less than one
-        request a second. What two of them lost is told to all, so the number of
-        lost requests doesn't grow with the hosts: two at first, a few that are
-        under way then, and one for each time that the target is tried again.
-        """
+    def test_lost_requests_do_not_grow_with_hosts(self) -> None:
+        """Lose two requests, those in flight and one per probe, at any fleet size."""
         for hosts, seed in itertools.product((10, 30, 100), range(5)):
             fleet = _Fleet(hosts=hosts)
-            fleet.play(seed)
+            fleet.run(seed)
             with self.subTest(hosts=hosts, seed=seed):
-                tries = 3
-                under_way = 3
-                self.assertLessEqual(fleet.failed, MIN_REPORTERS + tries + under_way)
+                probes = 3
+                in_flight = 3
+                self.assertLessEqual(fleet.failed, MIN_REPORTERS + probes + in_flight)
 
-    def test_naive_fleet_loses_more_the_larger_it_is(self) -> None:
-        """Show what each host loses that learns from its own requests alone."""
-        lost = []
+    def test_lost_requests_grow_without_reports(self) -> None:
+        """Lose more requests in larger fleets if hosts send no reports."""
+        failed_by_size = []
         for hosts in (10, 30, 100):
-            fleet = _Fleet(hosts=hosts, shares=False)
-            fleet.play(1)
-            lost.append(fleet.failed)
-        self.assertGreater(lost[0], 20)
-        self.assertGreater(lost[1], lost[0])
-        self.assertGreater(lost[2], lost[1])
-
-    def test_target_that_is_well_again_is_used_by_all(self) -> None:
-        """Come back to a target soon after it serves again, all hosts at once."""
+            fleet = _Fleet(hosts=hosts, sends_reports=False)
+            fleet.run(1)
+            failed_by_size.append(fleet.failed)
+        self.assertGreater(failed_by_size[0], 20)
+        self.assertGreater(failed_by_size[1], failed_by_size[0])
+        self.assertGreater(failed_by_size[2], failed_by_size[1])
+
+    def test_recovered_target_is_used_again(self) -> None:
+        """Use a target from all hosts again soon after it recovers."""
         for seed in range(5):
             fleet = _Fleet(hosts=100)
-            fleet.play(seed)
-            back = FAILING_SECONDS + MAX_EJECTION_SECONDS / 2
-            after = [at for at in fleet.near if at > back]
+            fleet.run(seed)
+            recovered = FAILING_SECONDS + MAX_EJECTION_SECONDS / 2
+            after = [time for time in fleet.near_requests if time > recovered]
             with self.subTest(seed=seed):
-                expected = RATE * (DAY_SECONDS - back)
+                expected = RATE * (RUN_SECONDS - recovered)
                 self.assertGreater(len(after), expected / 2)
 
-    def test_messages_follow_failures_and_not_pairs_of_hosts(self) -> None:
-        """Send a message to each host for a failure, a few times in all."""
+    def test_report_count_is_bounded(self) -> None:
+        """Send each host a few reports in all."""
         fleet = _Fleet(hosts=100)
-        fleet.play(1)
+        fleet.run(1)
         self.assertLess(fleet.messages, 12 * fleet.hosts)
 
-    def test_host_with_a_bad_link_convinces_nobody(self) -> None:
-        """Go on with a target that only one host sees fail.
-
-        One host's link to the target is cut; it accuses the target for as long
-        as it lasts. The others have it answer, and stay.
-        """
+    def test_single_reporter_ejects_no_target(self) -> None:
+        """Keep a target that only one host, with a broken link, reports."""
         health = TargetHealth(own=HostName("well"))
         for step in range(100):
             now = step * 0.2
             health.report_received(NEAR, HostName("bad"), ok=False, now=now)
             self.assertEqual(health.failure_rate(NEAR, now), 0.0)
 
-    def test_failures_that_lie_apart_are_no_outage(self) -> None:
-        """Stay with a target that loses an answer now and then, to any host."""
+    def test_sporadic_failures_eject_no_target(self) -> None:
+        """Keep a target that fails sporadically for different hosts."""
         health = TargetHealth(own=HostName("own"))
         for step in range(20):
             now = step * (REPORT_WINDOW + 0.1)
             health.report_received(NEAR, HostName(f"h{step}"), ok=False, now=now)
             self.assertEqual(health.failure_rate(NEAR, now), 0.0)
 
-    def test_no_service_is_emptied(self) -> None:
-        """Use a target although all of a service are accused."""
+    def test_all_targets_ejected(self) -> None:
+        """Use a target although all targets of the service are ejected."""
         health = TargetHealth(own=HostName("own"))
         for name, host in itertools.product((NEAR, FAR), ("a", "b", "c")):
             health.report_received(name, HostName(host), ok=False, now=0.0)
         policy = NearestFree(rng=random.Random(1))
-        chosen, _ = policy.choose(PromptShape(parts=()), _choices(health, 0.1))
+        chosen, _ = policy.choose(PromptShape(parts=()), _candidates(health, 0.1))
         self.assertEqual(chosen, NEAR)
 
-    def test_idle_connections_go_with_the_target(self) -> None:
-        """Say once that a target is passed over, for what is kept open to it."""
+    def test_ejection_callback(self) -> None:
+        """Call back once per ejection, so that idle connections can be closed."""
         closed: list[InstanceId] = []
         health = TargetHealth(own=HostName("own"))
         health.on_ejected = closed.append
@@ -200,15 +190,15 @@
             health.report_received(NEAR, HostName(host), ok=False, now=0.0)
         self.assertEqual(closed, [NEAR])
 
-    def test_memory_is_bounded(self) -> None:
-        """Forget old targets where reports of ever new ones arrive."""
+    def test_record_count_is_bounded(self) -> None:
+        """Drop old records when there are too many."""
         health = TargetHealth(own=HostName("own"))
         for number in range(MAX_RECORDS + 10):
             health.response_received(InstanceId(f"i-{number}"), float(number))
         self.assertEqual(len(health._records), MAX_RECORDS)
 
-    def test_pauses_grow_while_a_target_fails_and_end_with_an_answer(self) -> None:
-        """Try again after 1, 2, 4 and 8 seconds at most, and forget at an answer."""
+    def test_ejections_grow_until_a_success(self) -> None:
+        """Double the ejection up to 8 seconds, and end it after a success."""
         health = TargetHealth(own=HostName("own"))
         now = 0.0
         for host in ("a", "b"):
--- a/sequoiaarch/tests/policies/policy_tests.py
+++ b/sequoiaarch/tests/policies/policy_tests.py
@@ -1,4 +1,4 @@
-"""Test the decisions by themselves."""
+"""Test placement, order, admission and retention."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 def candidate(
     name: str, running: int = 0, queued: int = 0, programs: int = 0
 ) -> Candidate:
-    """Return a target with a load."""
+    """Return a candidate target with a load."""
     target = TargetName(name)
     load = Load(
         target=target, slots=4, running=running, queued=queued, programs=programs
@@ -34,13 +34,13 @@
 
 
 class PlacementTests(unittest.TestCase):
-    """Choose targets."""
+    """Test the choice of targets."""
 
     def choose(
         self,
         name: PlacementName,
         home: str | None,
-        *found: Candidate,
+        *candidates: Candidate,
         weight: float = 1,
     ) -> str:
         """Return the chosen target."""
@@ -50,30 +50,30 @@
             latency_weight=weight,
         )
         placement = make_placement(name, random.Random(3))
-        return placement.choose(request, list(found)).target
+        return placement.choose(request, list(candidates)).target
 
-    def test_affinity_stays(self) -> None:
-        """Stay at the home while nothing is gained elsewhere."""
+    def test_affinity_keeps_home(self) -> None:
+        """Keep the home while a move gains too little."""
         busy = candidate("a", running=4, queued=1)
         chosen = self.choose(PlacementName.AFFINITY, "a", busy, candidate("b"))
         self.assertEqual(chosen, "a")
 
-    def test_affinity_moves_from_a_long_queue(self) -> None:
-        """Move when waiting costs more than building the prefix again."""
+    def test_affinity_leaves_long_queue(self) -> None:
+        """Move when waiting costs more than rebuilding the prefix."""
         full = candidate("a", running=4, queued=40)
         free = candidate("b")
         self.assertEqual(self.choose(PlacementName.AFFINITY, "a", full, free), "b")
         stays = self.choose(PlacementName.AFFINITY, "a", full, free, weight=0)
         self.assertEqual(stays, "a")
 
-    def test_affinity_starts_where_few_live(self) -> None:
-        """Start at the less crowded of two."""
+    def test_affinity_starts_at_less_loaded_target(self) -> None:
+        """Start at the target with fewer programs."""
         crowded = candidate("a", programs=30)
         chosen = self.choose(PlacementName.AFFINITY, None, crowded, candidate("b"))
         self.assertEqual(chosen, "b")
 
-    def test_baselines(self) -> None:
-        """Choose as the baselines say."""
+    def test_other_placements(self) -> None:
+        """Choose by least load, first target or chance."""
         busy = candidate("a", running=4, queued=9)
         free = candidate("b")
         least = self.choose(PlacementName.LEAST_LOADED, "a", busy, free)
@@ -83,24 +83,24 @@
 
 
 class OrderTests(unittest.TestCase):
-    """Order waiting calls."""
+    """Test the order of waiting calls."""
 
     def test_least_attained_goes_first(self) -> None:
-        """Prefer the program that has had less service."""
+        """Prefer the program with less attained service."""
         order = LeastAttainedOrder()
         new = Ticket(program=P, arrived=5.0, attained=0.1)
         old = Ticket(program=P, arrived=4.0, attained=9.0)
         self.assertLess(order.rank(new, 6.0), order.rank(old, 6.0))
 
-    def test_nothing_starves(self) -> None:
-        """Let a program that waits come first in the end."""
+    def test_ageing_prevents_starvation(self) -> None:
+        """Run a program with much attained service after a long wait."""
         order = LeastAttainedOrder()
         old = Ticket(program=P, arrived=0.0, attained=9.0)
         new = Ticket(program=P, arrived=60.0, attained=0.0)
         self.assertLess(order.rank(old, 60.0), order.rank(new, 60.0))
 
-    def test_weight(self) -> None:
-        """Prefer the program with the higher priority."""
+    def test_priority_weight(self) -> None:
+        """Prefer the program with the higher weight."""
         order = LeastAttainedOrder()
         high = Ticket(program=P, arrived=0.0, attained=2.0, weight=4.0)
         low = Ticket(program=P, arrived=0.0, attained=2.0)
@@ -115,10 +115,10 @@
 
 
 class AdmissionTests(unittest.TestCase):
-    """Let programs start."""
+    """Test which programs may start."""
 
     def occupancy(self, **changed: int) -> Occupancy:
-        """Return how full a target is."""
+        """Return the load of a nearly full target, with changes."""
         values = {
             "running": 6,
             "slots": 8,
@@ -131,7 +131,7 @@
         return Occupancy(**{**values, **changed})
 
     def test_working_set(self) -> None:
-        """Admit what fits, and what keeps the engine from standing idle."""
+        """Admit programs that fit in memory, and any at an underused engine."""
         admission = WorkingSetAdmission()
         new = Ticket(program=P, arrived=0, tokens=200)
         cases = [
@@ -157,7 +157,7 @@
 
 
 class RetentionTests(unittest.TestCase):
-    """Choose what leaves memory."""
+    """Test which prefixes are evicted."""
 
     def prefix(self, name: str, last_used: float, **changed: bool) -> Prefix:
         """Return a prefix of 100 tokens."""
@@ -169,8 +169,8 @@
             **changed,
         )
 
-    def test_latest_return_leaves_first(self) -> None:
-        """Export the prefix whose program is expected back last."""
+    def test_latest_expected_call_is_evicted_first(self) -> None:
+        """Evict the idle prefix whose program is expected to call last."""
         pauses = PauseEstimator()
         pauses.record("s", 0.5)
         pauses.record("l", 60.0)
