--- a/sequoiaarch/tests/workspaces/simulation.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -12,7 +12,7 @@
 from ...workspaces.host_lease import HostLease
 from ...workspaces.limiter import Limiter, TokenGrant
 from ...workspaces.shares import ShareOwners
-from ...workspaces.sliding_window import SHARE_COUNT, QuotaBounds
+from ...workspaces.sliding_window import SHARES, QuotaBounds
 from ...workspaces.token_cache import TokenCache
 
 WORKSPACE = Workspace("w")
@@ -116,7 +116,7 @@
 
     def _fill(self) -> None:
         """Clear new windows, as if no previous owner had granted tokens."""
-        for share in range(SHARE_COUNT):
+        for share in range(SHARES):
             found = self.limiter._share(WORKSPACE, share)
             if found is not None and share not in self.filled:
                 self.filled.add(share)
--- a/sequoiaarch/tests/workspaces/tokens_tests.py
+++ b/sequoiaarch/tests/workspaces/tokens_tests.py
@@ -9,7 +9,7 @@
 from ...workspaces.access import UNSCOPED_CALLER, Caller
 from ...workspaces.directory import RateLimit
 from ...workspaces.quotas import Refusal, RequestToken, quota_failure
-from ...workspaces.sliding_window import TOKEN_LIFETIME
+from ...workspaces.sliding_window import TOKEN_LIFE
 from ...workspaces.token_cache import TokenCache
 
 WORKSPACE = Workspace("w")
@@ -22,18 +22,18 @@
     def __init__(self, tokens: int) -> None:
         self.tokens = tokens
         self.time = 10.0
-        self.given_back = 0
+        self.returned = 0
 
     async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
         """Grant a token while there are some."""
         if not self.tokens:
             return Refusal(wait=0.7)
         self.tokens -= 1
-        return self.time + TOKEN_LIFETIME
+        return self.time + TOKEN_LIFE
 
     def give_back(self, caller: Caller, until: float) -> None:
         """Count a returned token."""
-        self.given_back += 1
+        self.returned += 1
 
     def now(self) -> float:
         """Return the time."""
@@ -68,7 +68,7 @@
         """Take another token after the first one has expired."""
         request_token, quotas = self.request_token(1)
         self.assertIsNone(await request_token.ensure())
-        quotas.time += TOKEN_LIFETIME + 0.01
+        quotas.time += TOKEN_LIFE + 0.01
         self.assertIsInstance(await request_token.ensure(), Refusal)
 
     async def test_request_that_was_never_sent(self) -> None:
@@ -77,7 +77,7 @@
         self.assertIsNone(await request_token.ensure())
         request_token.close()
         request_token.close()
-        self.assertEqual(quotas.given_back, 1)
+        self.assertEqual(quotas.returned, 1)
 
     async def test_workspace_without_a_limit(self) -> None:
         """Take no token where there is no limit."""
@@ -105,13 +105,13 @@
         """Use no expired token, also after the process was frozen."""
         self.token_cache.put(WORKSPACE, 3, asked=self.time)
         self.assertIsNotNone(self.token_cache.take(WORKSPACE))
-        self.time += TOKEN_LIFETIME
+        self.time += TOKEN_LIFE
         self.assertIsNone(self.token_cache.take(WORKSPACE))
 
     def test_lifetime_starts_at_request(self) -> None:
         """Count the lifetime of tokens from their request, not the answer."""
         asked = self.time
-        self.time += TOKEN_LIFETIME + 0.1
+        self.time += TOKEN_LIFE + 0.1
         self.token_cache.put(WORKSPACE, 3, asked=asked)
         self.assertIsNone(self.token_cache.take(WORKSPACE))
 
--- a/sequoiaarch/workspaces/host_lease.py
+++ b/sequoiaarch/workspaces/host_lease.py
@@ -30,19 +30,19 @@
     ) -> None:
         self._lease = lease
         self._clock = clock
-        self._started = clock()
+        self._begun = clock()
         self._active_from: float | None = None
         self._predecessor = False
         self._released = False
-        self._renewed = float("-inf")
+        self._last_view = float("-inf")
         self._changed = float("-inf")
         self.term = 0
 
     @property
     def since(self) -> float:
         """Return the time since which this process owns its current shares."""
-        started = self._clock() if self._active_from is None else self._active_from
-        return max(started, self._changed)
+        begun = self._clock() if self._active_from is None else self._active_from
+        return max(begun, self._changed)
 
     @property
     def active(self) -> bool:
@@ -50,7 +50,7 @@
         now = self._clock()
         if self._released or self._active_from is None or now < self._active_from:
             return False
-        return now - self._renewed <= self._lease
+        return now - self._last_view <= self._lease
 
     def registered(self, *, own: bool, ordered: bool) -> None:
         """Handle a registration of this host, by this process or an earlier one.
@@ -67,7 +67,7 @@
         # The previous process of this host had ended when this one started.
         inherits = self._predecessor and ordered
         self._active_from = (
-            self._started if inherits else now + self._lease * CLOCK_MARGIN
+            self._begun if inherits else now + self._lease * CLOCK_MARGIN
         )
 
     def seen_by_all(self) -> None:
@@ -85,12 +85,12 @@
         self._predecessor = False
         self._active_from = None
 
-    def renew(self, as_of: float) -> None:
-        """Renew the lease by a read of the registrations that began at `as_of`."""
-        if as_of - self._renewed > self._lease:
+    def renew(self, since: float) -> None:
+        """Renew the lease by a read of the registrations that began at `since`."""
+        if since - self._last_view > self._lease:
             self.term += 1
             self._changed = self._clock()
-        self._renewed = as_of
+        self._last_view = since
 
     def hosts_changed(self) -> None:
         """Note that the shares of this host may have changed."""
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -11,10 +11,10 @@
 
 from ..ids import Workspace
 from .directory import RateLimit
-from .sliding_window import SHARE_COUNT, QuotaBounds, ShareWindow, share_bounds
+from .sliding_window import SHARES, QuotaBounds, ShareWindow, share_bounds
 
 # Refused callers of this time share the tokens that become available next. Seconds.
-REFUSAL_WINDOW = 1.0
+REFUSED_SPAN = 1.0
 
 
 class TokenGrant(msgspec.Struct, frozen=True, kw_only=True):
@@ -114,7 +114,7 @@
         """
         refused = share.refused
         refused.append(now)
-        while refused[0] < now - REFUSAL_WINDOW:
+        while refused[0] < now - REFUSED_SPAN:
             refused.popleft()
-        span = len(refused) / (SHARE_COUNT * share.window.bounds.rate)
+        span = len(refused) / (SHARES * share.window.bounds.rate)
         return self._rng.uniform(0.0, min(span, self._bounds.window))
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -14,7 +14,7 @@
 from .access import Caller
 from .directory import RateLimit
 from .limiter import Limiter, TokenGrant
-from .sliding_window import SHARE_COUNT, QuotaBounds
+from .sliding_window import SHARES, QuotaBounds
 from .token_cache import TokenCache
 
 # Time after which a lost owner of a share has likely been replaced. Seconds.
@@ -61,7 +61,7 @@
         if until is not None:
             return until
         waits = []
-        for share in range(SHARE_COUNT):
+        for share in range(SHARES):
             found = self._limiter.take(workspace, share, 1, begins=begins)
             if found.count:
                 return self._token_cache.put(workspace, 0, asked=asked)
--- a/sequoiaarch/workspaces/shares.py
+++ b/sequoiaarch/workspaces/shares.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from ..ids import DataCentre, HostName, Workspace
-from .sliding_window import SHARE_COUNT
+from .sliding_window import SHARES
 
 Hosts = Mapping[DataCentre, Sequence[HostName]]
 
@@ -45,7 +45,7 @@
             return ()
         first = _digest(workspace)
         found = []
-        for share in range(SHARE_COUNT):
+        for share in range(SHARES):
             centre = centres[(first + share) % len(centres)]
             name = f"{workspace}/{share}"
             ranked = max(hosts[centre], key=lambda host: _digest(f"{name}/{host}"))
--- a/sequoiaarch/workspaces/sliding_window.py
+++ b/sequoiaarch/workspaces/sliding_window.py
@@ -11,13 +11,13 @@
 
 # Shares of each limit, each owned by one process. When one owner is lost, the others
 # still serve two thirds of the rate.
-SHARE_COUNT = 3
+SHARES = 3
 # A token expires after this time; a later use would exceed the limit of its window.
 # Seconds.
-TOKEN_LIFETIME = 0.1
+TOKEN_LIFE = 0.1
 # Tokens granted within this time are counted as one entry, at the time of the last
 # grant. Seconds.
-ENTRY_SECONDS = 0.05
+ENTRY_SPAN = 0.05
 # Fraction of the rate that a new owner of a share, which does not know earlier
 # grants, may grant in its first window. A larger one leaves less for bursts.
 INITIAL_RATE_FRACTION = 2 / 3
@@ -61,11 +61,11 @@
     All shares together grant what a window allows. As a token may be used at the end
     of its lifetime, the counted span is longer than the window.
     """
-    span = bounds.window + TOKEN_LIFETIME + ENTRY_SECONDS
+    span = bounds.window + TOKEN_LIFE + ENTRY_SPAN
     rate = INITIAL_RATE_FRACTION * limit.rate
-    at_once = (bounds.allowed(limit) - rate * span) / SHARE_COUNT
+    at_once = (bounds.allowed(limit) - rate * span) / SHARES
     # With less than one token no request would ever be admitted.
-    return ShareBounds(at_once=max(1.0, at_once), rate=rate / SHARE_COUNT, span=span)
+    return ShareBounds(at_once=max(1.0, at_once), rate=rate / SHARES, span=span)
 
 
 class _Entry(msgspec.Struct, kw_only=True):
@@ -112,8 +112,8 @@
             self._entries.popleft()
         found = self.bounds.at_once
         for entry, total in self._totals():
-            refilled = self.bounds.rate * (now - entry.last)
-            found = min(found, self.bounds.at_once + refilled - total)
+            grown = self.bounds.rate * (now - entry.last)
+            found = min(found, self.bounds.at_once + grown - total)
         return found
 
     def wait(self, now: float, *, begins: bool) -> float:
@@ -131,8 +131,8 @@
         until = now
         for entry, total in self._totals():
             missing = total + needed - self.bounds.at_once
-            refilled = entry.last + missing / self.bounds.rate
-            until = max(until, min(refilled, entry.last + self.bounds.span))
+            grown = entry.last + missing / self.bounds.rate
+            until = max(until, min(grown, entry.last + self.bounds.span))
         return until - now
 
     def _totals(self) -> Iterator[tuple[_Entry, float]]:
@@ -144,7 +144,7 @@
 
     def _add(self, count: int, now: float) -> None:
         newest = self._entries[-1] if self._entries else None
-        if newest is not None and now - newest.first < ENTRY_SECONDS:
+        if newest is not None and now - newest.first < ENTRY_SPAN:
             newest.last = now
             newest.count += count
         else:
--- a/sequoiaarch/workspaces/token_cache.py
+++ b/sequoiaarch/workspaces/token_cache.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from ..ids import Workspace
-from .sliding_window import TOKEN_LIFETIME
+from .sliding_window import TOKEN_LIFE
 
 # Time constant of the average of a workspace's request rate. Seconds.
 RATE_SECONDS = 1.0
@@ -24,7 +24,7 @@
     program until `refused_starts_until`; `wait` is the delay to tell callers.
     """
 
-    count: int = 0
+    tokens: int = 0
     until: float = 0.0
     recent_requests: float = 0.0
     updated: float = 0.0
@@ -52,25 +52,23 @@
         """Use a held token and return its expiry, or None if there is none."""
         held = self._entry(workspace)
         now = self._clock()
-        decayed = held.recent_requests * math.exp(-(now - held.updated) / RATE_SECONDS)
-        held.recent_requests, held.updated = decayed + 1, now
-        if held.count < 1 or now >= held.until:
+        faded = held.recent_requests * math.exp(-(now - held.updated) / RATE_SECONDS)
+        held.recent_requests, held.updated = faded + 1, now
+        if held.tokens < 1 or now >= held.until:
             return None
-        held.count -= 1
+        held.tokens -= 1
         return held.until
 
     def wanted(self, workspace: Workspace) -> int:
         """Return the number of tokens to request."""
-        expected = (
-            self._entry(workspace).recent_requests / RATE_SECONDS * TOKEN_LIFETIME
-        )
+        expected = self._entry(workspace).recent_requests / RATE_SECONDS * TOKEN_LIFE
         return max(1, int(PREFETCH_FRACTION * expected))
 
-    def put(self, workspace: Workspace, count: int, *, asked: float) -> float:
+    def put(self, workspace: Workspace, tokens: int, *, asked: float) -> float:
         """Add tokens that were requested at `asked` and return their expiry."""
-        until = asked + TOKEN_LIFETIME
-        if count:
-            self._add(workspace, count, until)
+        until = asked + TOKEN_LIFE
+        if tokens:
+            self._add(workspace, tokens, until)
         return until
 
     def give_back(self, workspace: Workspace, until: float) -> None:
@@ -82,7 +80,7 @@
         """Remember that no token is available for `wait` seconds."""
         held = self._entry(workspace)
         held.wait = wait
-        held.refused_starts_until = self._clock() + min(wait, TOKEN_LIFETIME)
+        held.refused_starts_until = self._clock() + min(wait, TOKEN_LIFE)
         if not begins:
             held.refused_until = held.refused_starts_until
 
@@ -92,13 +90,13 @@
         until = held.refused_starts_until if begins else held.refused_until
         return held.wait if self._clock() < until else None
 
-    def _add(self, workspace: Workspace, count: int, until: float) -> None:
+    def _add(self, workspace: Workspace, tokens: int, until: float) -> None:
         held = self._entry(workspace)
         if held.until <= self._clock():
-            held.count = 0
+            held.tokens = 0
         # All held tokens share the earliest expiry.
-        held.until = min(held.until, until) if held.count else until
-        held.count += count
+        held.until = min(held.until, until) if held.tokens else until
+        held.tokens += tokens
 
     def _entry(self, workspace: Workspace) -> _WorkspaceTokens:
         return self._held.setdefault(workspace, _WorkspaceTokens())
