--- a/sequoiaarch/tests/workspaces/simulation.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -124,11 +124,11 @@
 
     def _ask(self, asked: float, begins: bool) -> float | None:
         for share, host in enumerate(self.owners.of(WORKSPACE)):
-            keeper = self.fleet.processes.get(host)
-            if keeper is None or not keeper.runs:
+            owner = self.fleet.processes.get(host)
+            if owner is None or not owner.runs:
                 continue
             count = self.token_cache.wanted(WORKSPACE)
-            found = keeper.answer(share, count, begins)
+            found = owner.answer(share, count, begins)
             if found.count:
                 return self.token_cache.put(WORKSPACE, found.count - 1, asked=asked)
         return None
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -33,6 +33,8 @@
 
 @dataclass(kw_only=True, eq=False)
 class _Share:
+    """Hold the window of a share and the times of recent refusals."""
+
     window: ShareWindow
     term: int
     refused: deque[float] = field(default_factory=deque)
--- a/sequoiaarch/workspaces/sliding_window.py
+++ b/sequoiaarch/workspaces/sliding_window.py
@@ -69,6 +69,8 @@
 
 
 class _Entry(msgspec.Struct, kw_only=True):
+    """Count tokens granted between two times that lie close together."""
+
     first: float
     last: float
     count: float
@@ -84,6 +86,7 @@
 
     def __init__(self, *, bounds: ShareBounds, since: float) -> None:
         self.bounds = bounds
+        # Assume that the previous owner granted as much as possible.
         before = _Entry(first=since, last=since, count=bounds.at_once)
         self._entries = deque([before])
         # Until when no token is available, by whether the request begins a program.
--- a/sequoiaarch/workspaces/token_cache.py
+++ b/sequoiaarch/workspaces/token_cache.py
@@ -18,7 +18,7 @@
 
 @dataclass(kw_only=True)
 class _WorkspaceTokens:
-    """Hold the tokens of a workspace until they expire, and its request rate.
+    """Hold the tokens of a workspace until they expire, and its recent requests.
 
     No token is available until `refused_until`, and none for requests that begin a
     program until `refused_starts_until`; `wait` is the delay to tell callers.
