--- a/sequoiaarch/workspaces/shares.py
+++ b/sequoiaarch/workspaces/shares.py
@@ -24,21 +24,21 @@
     ) -> None:
         self._hosts = hosts
         self._version = version
-        self._seen: int | None = None
-        self._found: dict[Workspace, tuple[HostName, ...]] = {}
+        self._cached_version: int | None = None
+        self._cached: dict[Workspace, tuple[HostName, ...]] = {}
 
     def of(self, workspace: Workspace) -> tuple[HostName, ...]:
         """Return the owner of each share, in order; empty if no host is known."""
         version = self._version()
-        if version != self._seen:
-            self._found.clear()
-            self._seen = version
-        found = self._found.get(workspace)
+        if version != self._cached_version:
+            self._cached.clear()
+            self._cached_version = version
+        found = self._cached.get(workspace)
         if found is None:
-            found = self._found[workspace] = self._rank(workspace)
+            found = self._cached[workspace] = self._assign(workspace)
         return found
 
-    def _rank(self, workspace: Workspace) -> tuple[HostName, ...]:
+    def _assign(self, workspace: Workspace) -> tuple[HostName, ...]:
         hosts = self._hosts()
         centres = sorted(centre for centre in hosts if hosts[centre])
         if not centres:
