--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -59,10 +59,10 @@
             self._token_cache.refuse(workspace, refusal.wait, begins=begins)
         return refusal
 
-    def give_back(self, caller: Caller, until: float) -> None:
+    def release(self, caller: Caller, until: float) -> None:
         """Hold the token for another request of this process."""
         if caller.workspace is not None:
-            self._token_cache.give_back(caller.workspace, until)
+            self._token_cache.release(caller.workspace, until)
 
     def now(self) -> float:
         """Return the time of the clock, in seconds."""
--- a/sequoiaarch/tests/workspaces/tokens_tests.py
+++ b/sequoiaarch/tests/workspaces/tokens_tests.py
@@ -31,7 +31,7 @@
         self.tokens -= 1
         return self.time + TOKEN_LIFE
 
-    def give_back(self, caller: Caller, until: float) -> None:
+    def release(self, caller: Caller, until: float) -> None:
         """Count a returned token."""
         self.returned += 1
 
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -34,7 +34,7 @@
     async def take(self, caller: Caller, *, begins: bool) -> float | Refusal:
         """Take a token; return its expiry on the clock, or a refusal."""
 
-    def give_back(self, caller: Caller, until: float) -> None:
+    def release(self, caller: Caller, until: float) -> None:
         """Return an unused token."""
 
     def now(self) -> float:
@@ -68,10 +68,10 @@
             waits.append(found.wait or 0.0)
         return Refusal(wait=min(waits))
 
-    def give_back(self, caller: Caller, until: float) -> None:
+    def release(self, caller: Caller, until: float) -> None:
         """Keep an unused token for another request."""
         if caller.workspace is not None:
-            self._token_cache.give_back(caller.workspace, until)
+            self._token_cache.release(caller.workspace, until)
 
     def now(self) -> float:
         """Return the time of the clock, in seconds."""
@@ -145,7 +145,7 @@
     def close(self) -> None:
         """Leave an unused token to other requests."""
         if self._until is not None:
-            self._quotas.give_back(self._caller, self._until)
+            self._quotas.release(self._caller, self._until)
         self._until = None
 
 
--- a/sequoiaarch/workspaces/token_cache.py
+++ b/sequoiaarch/workspaces/token_cache.py
@@ -71,7 +71,7 @@
             self._add(workspace, tokens, until)
         return until
 
-    def give_back(self, workspace: Workspace, until: float) -> None:
+    def release(self, workspace: Workspace, until: float) -> None:
         """Add an unused token again."""
         if self._clock() < until:
             self._add(workspace, 1, until)
