--- a/sequoiaarch/tests/workspaces/tokens_tests.py
+++ b/sequoiaarch/tests/workspaces/tokens_tests.py
@@ -80,11 +80,11 @@
         self.assertEqual(quotas.returned, 1)
 
     async def test_workspace_without_a_limit(self) -> None:
-        """Take no token where there is no limit."""
+        """Ask for nothing where there is no limit."""
         request_token = RequestToken(quotas=_FakeQuotas(0), caller=UNSCOPED_CALLER)
         self.assertIsNone(await request_token.ensure())
 
-    def test_refusal_failures(self) -> None:
+    def test_refusals(self) -> None:
         """Distinguish a reached limit from one whose owners can't be asked."""
         full = quota_failure(CALLER, Refusal(wait=0.7)).failure
         self.assertEqual((full.answer.status, full.wait), (429, 0.7))
@@ -108,7 +108,7 @@
         self.time += TOKEN_LIFE
         self.assertIsNone(self.token_cache.take(WORKSPACE))
 
-    def test_lifetime_starts_at_request(self) -> None:
+    def test_late_answer(self) -> None:
         """Count the lifetime of tokens from their request, not the answer."""
         asked = self.time
         self.time += TOKEN_LIFE + 0.1
