--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -21,7 +21,7 @@
 from ..observe.decisions import Decisions
 from ..observe.metrics import Metrics
 from ..observe.traces import Tracing
-from ..shards.client import LocalShards, Shards
+from ..shards.client import LocalShards, ShardClient
 from ..storage.http import HttpClient, HttpHostList, HttpLog
 from ..storage.interfaces import AppendLog, HostList
 from ..storage.memory import MemoryHostList
@@ -87,7 +87,7 @@
     follower: ConfigFollower
     membership: Membership
     local: LocalShards
-    shards: Shards
+    shards: ShardClient
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def start(self) -> None:
@@ -154,7 +154,7 @@
         interval=settings.limits.append_interval,
         metrics=metrics,
     )
-    shards = Shards(
+    shards = ShardClient(
         shards=settings.shards,
         local=local,
         links=links,
--- a/sequoiaarch/home/homes.py
+++ b/sequoiaarch/home/homes.py
@@ -27,7 +27,7 @@
     Release,
     Spawn,
 )
-from ..shards.client import Shards
+from ..shards.client import ShardClient
 from ..wire.links import Links
 from ..wire.messages import Accepted, CallKind, Done, Failed, HandoverRequest, Turn
 from .calls import ActiveCall
@@ -66,7 +66,7 @@
         catalogue: Catalogue,
         membership: Membership,
         links: Links,
-        shards: Shards,
+        shards: ShardClient,
         limits: LimitOptions,
         metrics: Metrics,
         decisions: Decisions,
--- a/sequoiaarch/home/parts.py
+++ b/sequoiaarch/home/parts.py
@@ -11,7 +11,7 @@
 from ..membership.view import Membership
 from ..observe.metrics import Metrics
 from ..observe.traces import Tracing
-from ..shards.client import Shards
+from ..shards.client import ShardClient
 from ..sidecar.executor import Executor
 from ..wire.links import Links
 from ..wire.messages import CallRequest, Load
@@ -32,7 +32,7 @@
     catalogue: Catalogue
     membership: Membership
     links: Links
-    shards: Shards
+    shards: ShardClient
     limits: LimitOptions
     metrics: Metrics
     tracing: Tracing
--- a/sequoiaarch/home/program.py
+++ b/sequoiaarch/home/program.py
@@ -12,7 +12,7 @@
 from ..ids import CallKey, Epoch, ProgramId, RecordId, Seq, new_id
 from ..observe.metrics import Metrics
 from ..records.types import Commit, IntentState, ProgramState, Reserve
-from ..shards.client import Shards
+from ..shards.client import ShardClient
 from .calls import ActiveCall
 
 log = logbook.Logger("home")
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, *, state: ProgramState, shards: Shards, metrics: Metrics
+        self, *, state: ProgramState, shards: ShardClient, metrics: Metrics
     ) -> None:
         self._state = state
         self._shards = shards
--- a/sequoiaarch/shards/client.py
+++ b/sequoiaarch/shards/client.py
@@ -82,7 +82,7 @@
             stream.close()
 
 
-class Shards:
+class ShardClient:
     """Reach the shard keepers, or do their work where none answers.
 
     Two keepers of a shard at once are harmless: every reader judges by what
--- a/sequoiaarch/shards/keeper.py
+++ b/sequoiaarch/shards/keeper.py
@@ -25,7 +25,7 @@
     StateRequest,
     SubmitRequest,
 )
-from .client import LocalShards, Shards
+from .client import LocalShards, ShardClient
 from .stream import ShardStream
 
 log = logbook.Logger("keeper")
@@ -43,7 +43,7 @@
         self,
         *,
         local: LocalShards,
-        shards: Shards,
+        shards: ShardClient,
         mine: Callable[[], list[int]],
         renew_config: RenewConfig,
         limits: LimitOptions,
--- a/sequoiaarch/sidecar/memory.py
+++ b/sequoiaarch/sidecar/memory.py
@@ -14,7 +14,7 @@
 from ..observe.decisions import Decisions
 from ..observe.metrics import Metrics
 from ..policies.retention import Pauses, Prefix, PrefixTable, Removal, make_retention
-from ..shards.client import Shards
+from ..shards.client import ShardClient
 
 log = logbook.Logger("memory")
 
@@ -36,7 +36,7 @@
         engine: ModelEngine,
         capacity: Callable[[], int],
         policy: Callable[[], PolicySpecification],
-        shards: Shards,
+        shards: ShardClient,
         metrics: Metrics,
         decisions: Decisions,
     ) -> None:
--- a/sequoiaarch/tests/shards/keeper_tests.py
+++ b/sequoiaarch/tests/shards/keeper_tests.py
@@ -15,7 +15,7 @@
 from ...records.codec import encode_record
 from ...records.types import Claim, ProgramSpec
 from ...shards import client as client_module
-from ...shards.client import LocalShards, Shards
+from ...shards.client import LocalShards, ShardClient
 from ...shards.keeper import ShardKeeper
 from ...shards.stream import stream_name
 from ...storage.interfaces import Page
@@ -68,7 +68,7 @@
         self.addCleanup(self.local.close)
         context = zmq.asyncio.Context()
         self.addCleanup(context.destroy, linger=0)
-        shards = Shards(
+        shards = ShardClient(
             shards=1,
             local=self.local,
             links=Links(context=context),
