--- a/sequoiaarch/home/homes.py
+++ b/sequoiaarch/home/local_programs.py
@@ -56,7 +56,7 @@
     previous_silent: bool = False
 
 
-class Homes:
+class LocalPrograms:
     """Open, release and end programs."""
 
     def __init__(
--- a/sequoiaarch/home/parts.py
+++ b/sequoiaarch/home/parts.py
@@ -16,7 +16,7 @@
 from ..wire.links import Links
 from ..wire.messages import CallRequest, Load
 from .calls import ActiveCall
-from .homes import Homes
+from .local_programs import LocalPrograms
 from .program import RunningProgram
 
 DEFAULT_ANSWER_TOKENS = 1024
@@ -27,7 +27,7 @@
     """Hold what is needed to run calls at this sidecar."""
 
     me: TargetName
-    homes: Homes
+    homes: LocalPrograms
     executor: Executor
     catalogue: Catalogue
     membership: Membership
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -24,7 +24,7 @@
 from .calls import ActiveCall
 from .dispatcher import Dispatcher
 from .finder import CallFinder, fingerprint_of
-from .homes import Opening
+from .local_programs import Opening
 from .model_calls import ModelCalls
 from .parts import HomeParts, Work
 from .program import RunningProgram
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -10,7 +10,7 @@
 from ..daemon.base import Core, curve_keys
 from ..engines.http import HttpEngine, HttpService
 from ..errors import ErrorKind, Failure, FailureError, NotRun
-from ..home.homes import Homes, Opening
+from ..home.local_programs import LocalPrograms, Opening
 from ..home.parts import HomeParts
 from ..home.runner import CallRunner
 from ..ids import ProgramId, TargetName
@@ -70,7 +70,7 @@
         self._queue: TargetQueue | None = None
         self._runner: CallRunner | None = None
         self._dispatched = 0
-        self._homes = Homes(
+        self._homes = LocalPrograms(
             me=target,
             catalogue=core.catalogue,
             membership=core.membership,
@@ -90,7 +90,7 @@
         )
 
     @property
-    def homes(self) -> Homes:
+    def homes(self) -> LocalPrograms:
         """Return the programs at home here."""
         return self._homes
 
