--- a/sequoiaarch/home/local_programs.py
+++ b/sequoiaarch/home/local_programs.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Opening:
+class OpenRequest:
     """Say which program to open and what the asker knows of it.
 
     `first_call` is the number of tokens that the next call may need.
@@ -110,7 +110,7 @@
         """Return the policy of a program."""
         return self._catalogue.policy_for(spec.labels)
 
-    async def open(self, opening: Opening) -> RunningProgram:
+    async def open(self, opening: OpenRequest) -> RunningProgram:
         """Return a program that is at home here, claiming it where needed."""
         program = opening.program
         async with self._opening[program]:
@@ -119,7 +119,7 @@
                 return running
             return await self._claim(opening)
 
-    async def _claim(self, opening: Opening) -> RunningProgram:
+    async def _claim(self, opening: OpenRequest) -> RunningProgram:
         program = opening.program
         self._programs.pop(program, None)
         for _ in range(CLAIMS_TRIED):
@@ -153,7 +153,7 @@
                 f"program {state.program} ended: {state.ended}",
             )
 
-    async def _take_from(self, state: ProgramState, opening: Opening) -> None:
+    async def _take_from(self, state: ProgramState, opening: OpenRequest) -> None:
         """Ask the present home to release; where it is silent, go on.
 
         A home that is only slow or paused can do no harm: the claim that
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -24,7 +24,7 @@
 from .calls import ActiveCall
 from .dispatcher import Dispatcher
 from .finder import CallFinder, fingerprint_of
-from .local_programs import Opening
+from .local_programs import OpenRequest
 from .model_calls import ModelCalls
 from .parts import HomeParts, Work
 from .program import RunningProgram
@@ -83,7 +83,7 @@
                 ErrorKind.LOG_UNAVAILABLE,
                 "turns that the log has not taken fill the buffer",
             )
-        opening = Opening(
+        opening = OpenRequest(
             program=request.program,
             spec=request.spec,
             first_call=len(request.body) + self._parts.answer_limit(request),
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -10,7 +10,7 @@
 from ..daemon.base import Core, curve_keys
 from ..engines.http import HttpEngine, HttpService
 from ..errors import ErrorKind, Failure, FailureError, NotRun
-from ..home.local_programs import LocalPrograms, Opening
+from ..home.local_programs import LocalPrograms, OpenRequest
 from ..home.parts import HomeParts
 from ..home.runner import CallRunner
 from ..ids import ProgramId, TargetName
@@ -335,7 +335,9 @@
 
     async def _carry_out(self, request: ProgramOrder) -> Failure | None:
         if isinstance(request, CreateRequest):
-            opening = Opening(program=request.program, spec=request.spec, create=True)
+            opening = OpenRequest(
+                program=request.program, spec=request.spec, create=True
+            )
             await self._homes.open(opening)
             return None
         if isinstance(request, SpawnRequest):
@@ -374,9 +376,9 @@
             client.close()
 
 
-def _taking_over(program: ProgramId, request: ProgramOrder) -> Opening:
+def _taking_over(program: ProgramId, request: ProgramOrder) -> OpenRequest:
     """Return how to open a program whose home the asker may have found silent."""
-    return Opening(
+    return OpenRequest(
         program=program,
         spec=request.spec,
         previous_home=request.silent_home,
