--- a/sequoiaarch/home/parts.py
+++ b/sequoiaarch/home/context.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HomeParts:
+class HomeContext:
     """Hold what is needed to run calls at this sidecar."""
 
     me: TargetName
--- a/sequoiaarch/home/dispatcher.py
+++ b/sequoiaarch/home/dispatcher.py
@@ -7,30 +7,30 @@
 from ..ids import TargetName
 from ..sidecar.executor import Execution
 from ..wire.messages import Chunk, DispatchRequest, Executed, Failed
-from .parts import HomeParts
+from .context import HomeContext
 
 
 class Dispatcher:
     """Deliver each attempt once."""
 
-    def __init__(self, *, parts: HomeParts) -> None:
-        self._parts = parts
+    def __init__(self, *, context: HomeContext) -> None:
+        self._context = context
 
     async def run(self, dispatch: DispatchRequest, emit: Emit) -> Execution | Failure:
         """Have an attempt run, here or at the sidecar of its target."""
-        if dispatch.target == self._parts.me:
-            return await self._parts.executor.run(dispatch, emit)
-        address = self._parts.membership.address(dispatch.target)
+        if dispatch.target == self._context.me:
+            return await self._context.executor.run(dispatch, emit)
+        address = self._context.membership.address(dispatch.target)
         if address is None:
             return Failure(
                 kind=ErrorKind.NO_TARGET, reason=f"target {dispatch.target} is gone"
             )
-        self._parts.membership.note_sent(dispatch.target)
-        async for reply in self._parts.links.to(address).stream(dispatch):
+        self._context.membership.note_sent(dispatch.target)
+        async for reply in self._context.links.to(address).stream(dispatch):
             if isinstance(reply, Chunk):
                 emit(reply.data)
             elif isinstance(reply, Executed):
-                self._parts.membership.note_load(reply.load)
+                self._context.membership.note_load(reply.load)
                 return Execution(
                     status=reply.status,
                     body=reply.body,
@@ -41,7 +41,7 @@
                     seconds=reply.seconds,
                 )
             elif isinstance(reply, Failed):
-                self._parts.membership.note_load(reply.load)
+                self._context.membership.note_load(reply.load)
                 return self._target_failure(dispatch.target, reply.failure)
         return Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="no last reply")
 
@@ -52,7 +52,7 @@
         """
         if failure.kind is not ErrorKind.INTERRUPTED:
             return failure
-        self._parts.membership.note_silent(target)
+        self._context.membership.note_silent(target)
         return Failure(
             kind=ErrorKind.TARGET_FAILED,
             reason=failure.reason,
--- a/sequoiaarch/home/finder.py
+++ b/sequoiaarch/home/finder.py
@@ -9,7 +9,7 @@
 from ..records.types import Commit, IntentState, Outcome
 from ..wire.messages import CallKind, CallRequest, Done
 from .calls import ActiveCall
-from .parts import HomeParts
+from .context import HomeContext
 from .program import RunningProgram
 
 UNKNOWN_REASON = "the call may have been run; it is not run again"
@@ -18,8 +18,8 @@
 class CallFinder:
     """Find a call by its sequence number, its key, or its request."""
 
-    def __init__(self, *, parts: HomeParts) -> None:
-        self._parts = parts
+    def __init__(self, *, context: HomeContext) -> None:
+        self._context = context
 
     async def find(
         self, running: RunningProgram, request: CallRequest
@@ -67,7 +67,7 @@
         """Return the finished call of an intent, if the log holds its answer."""
         if intent.outcome is not Outcome.DONE:
             return None
-        commits = await self._parts.shards.commits(program)
+        commits = await self._context.shards.commits(program)
         if isinstance(commits, Failure):
             raise FailureError(commits)
         for commit in commits:
@@ -104,7 +104,7 @@
 
     async def _commit_of(self, running: RunningProgram, seq: Seq) -> Commit | None:
         """Return the commit of an earlier call, if the log still keeps it."""
-        commit = await self._parts.homes.answered(running, seq)
+        commit = await self._context.homes.answered(running, seq)
         if isinstance(commit, Failure):
             raise FailureError(commit)
         return commit
@@ -115,7 +115,7 @@
         """Return the call that used a key of a program that has ended."""
         if failure.kind is not ErrorKind.PROGRAM_ENDED or request.key is None:
             return None
-        state = await self._parts.shards.state(request.program)
+        state = await self._context.shards.state(request.program)
         if state is None or isinstance(state, Failure):
             return None
         intent = state.intents.get(request.key)
--- a/sequoiaarch/home/model_calls.py
+++ b/sequoiaarch/home/model_calls.py
@@ -20,8 +20,8 @@
     parse_chat,
     prompt_bound,
 )
+from .context import HomeContext, Work
 from .dispatcher import Dispatcher
-from .parts import HomeParts, Work
 from .program import RunningProgram
 
 log = logbook.Logger("home")
@@ -36,8 +36,8 @@
 class ModelCalls:
     """Run model calls of programs that are at home here."""
 
-    def __init__(self, *, parts: HomeParts, dispatcher: Dispatcher) -> None:
-        self._parts = parts
+    def __init__(self, *, context: HomeContext, dispatcher: Dispatcher) -> None:
+        self._context = context
         self._dispatcher = dispatcher
 
     async def run(self, work: Work) -> Commit:
@@ -45,14 +45,14 @@
         running = work.running
         chat = parse_chat(work.request.body)
         extension = check_extension(running, chat)
-        target = work.request.target or self._parts.me
+        target = work.request.target or self._context.me
         prompt = prompt_bound(chat, self._bytes_per_token(target))
-        most = self._parts.answer_limit(work.request)
+        most = self._context.answer_limit(work.request)
         answer = min(chat.max_tokens or most, most)
         given = await running.reserve(
             prompt + answer + CUT_SLACK,
             prompt + LEAST_ANSWER + CUT_SLACK,
-            self._parts.limits.submit_timeout,
+            self._context.limits.submit_timeout,
         )
         builder = AnswerBuilder()
         try:
@@ -69,7 +69,7 @@
         return commit
 
     def _bytes_per_token(self, target: TargetName) -> float:
-        document = self._parts.catalogue.target(target)
+        document = self._context.catalogue.target(target)
         return document.spec.min_bytes_per_token if document else 1.0
 
     async def _dispatch(
@@ -81,7 +81,7 @@
         limit: int,
     ) -> Execution:
         running = work.running
-        policy = self._parts.homes.policy(running.state.spec)
+        policy = self._context.homes.policy(running.state.spec)
         dispatch = DispatchRequest(
             program=running.id,
             workspace=running.state.spec.workspace,
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -22,11 +22,11 @@
     Turn,
 )
 from .calls import ActiveCall
+from .context import HomeContext, Work
 from .dispatcher import Dispatcher
 from .finder import CallFinder, fingerprint_of
 from .local_programs import OpenRequest
 from .model_calls import ModelCalls
-from .parts import HomeParts, Work
 from .program import RunningProgram
 from .service_calls import ServiceCalls
 
@@ -40,12 +40,12 @@
 class CallRunner:
     """Admit calls to their programs, run them and commit them."""
 
-    def __init__(self, *, parts: HomeParts) -> None:
-        dispatcher = Dispatcher(parts=parts)
-        self._parts = parts
-        self._finder = CallFinder(parts=parts)
-        self._model_calls = ModelCalls(parts=parts, dispatcher=dispatcher)
-        self._service_calls = ServiceCalls(parts=parts, dispatcher=dispatcher)
+    def __init__(self, *, context: HomeContext) -> None:
+        dispatcher = Dispatcher(context=context)
+        self._context = context
+        self._finder = CallFinder(context=context)
+        self._model_calls = ModelCalls(context=context, dispatcher=dispatcher)
+        self._service_calls = ServiceCalls(context=context, dispatcher=dispatcher)
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
@@ -74,11 +74,14 @@
             call = None
         if call is not None:
             return await self._relay(request, Epoch(0), call, send)
-        self._parts.metrics.refusals.inc({"kind": failure.kind.value})
-        return Failed(failure=failure, load=self._parts.load())
+        self._context.metrics.refusals.inc({"kind": failure.kind.value})
+        return Failed(failure=failure, load=self._context.load())
 
     async def _open(self, request: CallRequest) -> RunningProgram:
-        if self._parts.homes.uncommitted_bytes > self._parts.limits.uncommitted_bytes:
+        if (
+            self._context.homes.uncommitted_bytes
+            > self._context.limits.uncommitted_bytes
+        ):
             raise fail(
                 ErrorKind.LOG_UNAVAILABLE,
                 "turns that the log has not taken fill the buffer",
@@ -86,19 +89,19 @@
         opening = OpenRequest(
             program=request.program,
             spec=request.spec,
-            first_call=len(request.body) + self._parts.answer_limit(request),
+            first_call=len(request.body) + self._context.answer_limit(request),
             create=True,
             previous_home=request.previous_home,
             previous_silent=request.previous_silent,
         )
-        running = await self._parts.homes.open(opening)
+        running = await self._context.homes.open(opening)
         if running.state.spec.workspace != request.spec.workspace:
             raise fail(ErrorKind.NOT_FOUND, f"no program {request.program}")
-        await self._parts.homes.take_pending(running, request.pending)
+        await self._context.homes.take_pending(running, request.pending)
         return running
 
     def _start(self, running: RunningProgram, request: CallRequest) -> ActiveCall:
-        document = self._parts.catalogue.program(request.spec.name)
+        document = self._context.catalogue.program(request.spec.name)
         if document is not None and running.seq >= document.spec.max_calls:
             raise fail(
                 ErrorKind.PROGRAM_LIMIT,
@@ -122,10 +125,10 @@
     async def _run(
         self, running: RunningProgram, call: ActiveCall, request: CallRequest
     ) -> None:
-        span = self._parts.tracing.start(
-            "home", request.trace, program=running.id, home=self._parts.me
+        span = self._context.tracing.start(
+            "home", request.trace, program=running.id, home=self._context.me
         )
-        trace = self._parts.tracing.traceparent(span)
+        trace = self._context.tracing.traceparent(span)
         work = Work(running=running, call=call, request=request, trace=trace)
         result = "answered"
         try:
@@ -149,7 +152,7 @@
             span.set_attribute("result", result)
             span.end()
             running.end_turn(call)
-            self._parts.metrics.calls.inc(
+            self._context.metrics.calls.inc(
                 {"kind": request.kind.value, "result": result}
             )
         if request.single:
@@ -158,7 +161,7 @@
     async def _end_single(self, running: RunningProgram, call: ActiveCall) -> None:
         await call.settled()
         if running.lost is None and not running.busy:
-            await self._parts.homes.end(running, "its only call ended")
+            await self._context.homes.end(running, "its only call ended")
 
     async def _run_model(self, work: Work) -> None:
         commit = await self._model_calls.run(work)
@@ -179,7 +182,7 @@
 
     async def _answer(self, work: Work, commit: Commit) -> None:
         call = work.call
-        wait = self._parts.homes.policy(work.running.state.spec).commit_wait
+        wait = self._context.homes.policy(work.running.state.spec).commit_wait
         if wait > 0:
             await _wait_settled(call, wait)
         turn = None
@@ -210,7 +213,7 @@
                 await send(event)
                 continue
             if isinstance(event, Failure):
-                return Failed(failure=event, load=self._parts.load())
+                return Failed(failure=event, load=self._context.load())
             break
         await send(
             Done(
@@ -219,7 +222,7 @@
                 committed=call.kept,
                 turn=event.turn,
                 used=event.used,
-                load=self._parts.load(),
+                load=self._context.load(),
             )
         )
         failure = await call.settled()
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -17,9 +17,9 @@
 from ..sidecar.executor import Execution
 from ..wire.messages import CallKind, CallRequest, DispatchRequest
 from .answers import error_answer
+from .context import HomeContext, Work
 from .dispatcher import Dispatcher
 from .finder import UNKNOWN_REASON, fingerprint_of
-from .parts import HomeParts, Work
 from .program import RunningProgram, superseded
 
 SERVICE_TRIES = 2
@@ -28,13 +28,13 @@
 class ServiceCalls:
     """Run service calls of programs that are at home here."""
 
-    def __init__(self, *, parts: HomeParts, dispatcher: Dispatcher) -> None:
-        self._parts = parts
+    def __init__(self, *, context: HomeContext, dispatcher: Dispatcher) -> None:
+        self._context = context
         self._dispatcher = dispatcher
 
     async def run(self, work: Work) -> Execution | Failure:
         """Run one call; a failure that is returned takes its place in order."""
-        policy = self._parts.homes.policy(work.running.state.spec)
+        policy = self._context.homes.policy(work.running.state.spec)
         if work.request.non_idempotent:
             return await self._run_once(work, policy)
         return await self._run_repeatable(work, policy)
@@ -120,7 +120,9 @@
             executor=target,
             attempt=AttemptId(new_id("attempt")),
         )
-        reply = await self._parts.shards.submit(record, timeout=self._patience(request))
+        reply = await self._context.shards.submit(
+            record, timeout=self._patience(request)
+        )
         if isinstance(reply, Failure):
             # Whatever becomes of the record, nothing was dispatched.
             running.abandoned.add(request.key)
@@ -142,10 +144,10 @@
 
     def _patience(self, request: CallRequest) -> float:
         """Return the seconds that an intent may wait for the log."""
-        policy = self._parts.homes.policy(request.spec)
+        policy = self._context.homes.policy(request.spec)
         if policy.log_away is WhenLogIsAway.WAIT:
             return min(request.deadline, policy.service_timeout)
-        return self._parts.limits.submit_timeout
+        return self._context.limits.submit_timeout
 
     async def _withdraw(
         self, running: RunningProgram, request: CallRequest, intent: IntentState
@@ -158,8 +160,8 @@
             key=request.key,
             attempt=intent.attempt,
         )
-        reply = await self._parts.shards.submit(
-            record, timeout=self._parts.limits.submit_timeout
+        reply = await self._context.shards.submit(
+            record, timeout=self._context.limits.submit_timeout
         )
         if not isinstance(reply, Failure):
             running.take_state(reply.state)
@@ -169,15 +171,15 @@
     ) -> TargetName | None:
         names = [
             TargetName(document.name)
-            for document in self._parts.catalogue.targets
+            for document in self._context.catalogue.targets
             if document.spec.type is TargetType.SERVICE
             and document.spec.service == request.service
-            and self._parts.membership.takes_work(document)
+            and self._context.membership.takes_work(document)
         ]
         if request.target in names and request.target not in tried:
             return request.target
         left = [name for name in names if name not in tried]
-        return min(left, key=self._parts.membership.sent_since) if left else None
+        return min(left, key=self._context.membership.sent_since) if left else None
 
     def _dispatch_of(
         self,
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -10,8 +10,8 @@
 from ..daemon.base import Core, curve_keys
 from ..engines.http import HttpEngine, HttpService
 from ..errors import ErrorKind, Failure, FailureError, NotRun
+from ..home.context import HomeContext
 from ..home.local_programs import LocalPrograms, OpenRequest
-from ..home.parts import HomeParts
 from ..home.runner import CallRunner
 from ..ids import ProgramId, TargetName
 from ..policies.admission import Occupancy
@@ -221,7 +221,7 @@
             metrics=core.metrics,
             tracing=core.tracing,
         )
-        parts = HomeParts(
+        context = HomeContext(
             me=self._target,
             homes=self._homes,
             executor=self._executor,
@@ -234,7 +234,7 @@
             tracing=core.tracing,
             load=self.load,
         )
-        self._runner = CallRunner(parts=parts)
+        self._runner = CallRunner(context=context)
 
     async def _watch_host(self) -> None:
         """Drain when the host list shows the own host as leaving."""
