--- a/sequoiaarch/home/context.py
+++ b/sequoiaarch/home/context.py
@@ -27,7 +27,7 @@
     """Hold what is needed to run calls at this sidecar."""
 
     me: TargetName
-    homes: LocalPrograms
+    local_programs: LocalPrograms
     executor: Executor
     catalogue: Catalogue
     membership: Membership
--- a/sequoiaarch/home/finder.py
+++ b/sequoiaarch/home/finder.py
@@ -104,7 +104,7 @@
 
     async def _commit_of(self, running: RunningProgram, seq: Seq) -> Commit | None:
         """Return the commit of an earlier call, if the log still keeps it."""
-        commit = await self._context.homes.answered(running, seq)
+        commit = await self._context.local_programs.answered(running, seq)
         if isinstance(commit, Failure):
             raise FailureError(commit)
         return commit
--- a/sequoiaarch/home/model_calls.py
+++ b/sequoiaarch/home/model_calls.py
@@ -81,7 +81,7 @@
         limit: int,
     ) -> Execution:
         running = work.running
-        policy = self._context.homes.policy(running.state.spec)
+        policy = self._context.local_programs.policy(running.state.spec)
         dispatch = DispatchRequest(
             program=running.id,
             workspace=running.state.spec.workspace,
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -79,7 +79,7 @@
 
     async def _open(self, request: CallRequest) -> RunningProgram:
         if (
-            self._context.homes.uncommitted_bytes
+            self._context.local_programs.uncommitted_bytes
             > self._context.limits.uncommitted_bytes
         ):
             raise fail(
@@ -94,10 +94,10 @@
             previous_home=request.previous_home,
             previous_silent=request.previous_silent,
         )
-        running = await self._context.homes.open(opening)
+        running = await self._context.local_programs.open(opening)
         if running.state.spec.workspace != request.spec.workspace:
             raise fail(ErrorKind.NOT_FOUND, f"no program {request.program}")
-        await self._context.homes.take_pending(running, request.pending)
+        await self._context.local_programs.take_pending(running, request.pending)
         return running
 
     def _start(self, running: RunningProgram, request: CallRequest) -> ActiveCall:
@@ -161,7 +161,7 @@
     async def _end_single(self, running: RunningProgram, call: ActiveCall) -> None:
         await call.settled()
         if running.lost is None and not running.busy:
-            await self._context.homes.end(running, "its only call ended")
+            await self._context.local_programs.end(running, "its only call ended")
 
     async def _run_model(self, work: Work) -> None:
         commit = await self._model_calls.run(work)
@@ -182,7 +182,7 @@
 
     async def _answer(self, work: Work, commit: Commit) -> None:
         call = work.call
-        wait = self._context.homes.policy(work.running.state.spec).commit_wait
+        wait = self._context.local_programs.policy(work.running.state.spec).commit_wait
         if wait > 0:
             await _wait_settled(call, wait)
         turn = None
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -34,7 +34,7 @@
 
     async def run(self, work: Work) -> Execution | Failure:
         """Run one call; a failure that is returned takes its place in order."""
-        policy = self._context.homes.policy(work.running.state.spec)
+        policy = self._context.local_programs.policy(work.running.state.spec)
         if work.request.non_idempotent:
             return await self._run_once(work, policy)
         return await self._run_repeatable(work, policy)
@@ -144,7 +144,7 @@
 
     def _patience(self, request: CallRequest) -> float:
         """Return the seconds that an intent may wait for the log."""
-        policy = self._context.homes.policy(request.spec)
+        policy = self._context.local_programs.policy(request.spec)
         if policy.log_away is WhenLogIsAway.WAIT:
             return min(request.deadline, policy.service_timeout)
         return self._context.limits.submit_timeout
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -223,7 +223,7 @@
         )
         context = HomeContext(
             me=self._target,
-            homes=self._homes,
+            local_programs=self._homes,
             executor=self._executor,
             catalogue=core.catalogue,
             membership=core.membership,
