--- a/sequoiaarch/home/local_programs.py
+++ b/sequoiaarch/home/local_programs.py
@@ -84,7 +84,7 @@
         self._programs: dict[ProgramId, RunningProgram] = {}
         self._opening: defaultdict[ProgramId, asyncio.Lock] = defaultdict(asyncio.Lock)
         self._draining = False
-        self._left: asyncio.Queue[tuple[ProgramId, str]] = asyncio.Queue()
+        self._departures: asyncio.Queue[tuple[ProgramId, str]] = asyncio.Queue()
 
     @property
     def programs(self) -> dict[ProgramId, RunningProgram]:
@@ -97,9 +97,9 @@
         return self._draining
 
     @property
-    def left(self) -> asyncio.Queue[tuple[ProgramId, str]]:
+    def departures(self) -> asyncio.Queue[tuple[ProgramId, str]]:
         """Return the programs that ended or left, with the cause."""
-        return self._left
+        return self._departures
 
     @property
     def uncommitted_bytes(self) -> int:
@@ -290,7 +290,7 @@
         if self._programs.get(running.id) is running:
             del self._programs[running.id]
         self._metrics.programs.set({}, len(self._programs))
-        await self._left.put((running.id, cause))
+        await self._departures.put((running.id, cause))
 
     async def spawn(
         self, parent: RunningProgram, child: ProgramId, budget: int
@@ -313,10 +313,10 @@
             if moved == budget:
                 return None
         if refusal is Refusal.NO_BUDGET:
-            left = parent.state.available
+            available = parent.state.available
             return Failure(
                 kind=ErrorKind.BUDGET_EXHAUSTED,
-                reason=f"the parent has {left} tokens to give, not {budget}",
+                reason=f"the parent has {available} tokens to give, not {budget}",
                 field="budget",
             )
         return superseded(parent.id)
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -248,7 +248,7 @@
 
     async def _free_left(self) -> None:
         while True:
-            program, cause = await self._homes.left.get()
+            program, cause = await self._homes.departures.get()
             if self._memory is not None:
                 await self._memory.forget(program, cause)
 
