--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -159,7 +159,7 @@
         local=local,
         links=links,
         peers=membership.peers,
-        me=me,
+        own_target=me,
     )
     return Core(
         settings=settings,
--- a/sequoiaarch/home/context.py
+++ b/sequoiaarch/home/context.py
@@ -26,7 +26,7 @@
 class HomeContext:
     """Hold what is needed to run calls at this sidecar."""
 
-    me: TargetName
+    own_target: TargetName
     local_programs: LocalPrograms
     executor: Executor
     catalogue: Catalogue
--- a/sequoiaarch/home/dispatcher.py
+++ b/sequoiaarch/home/dispatcher.py
@@ -18,7 +18,7 @@
 
     async def run(self, dispatch: DispatchRequest, emit: Emit) -> Execution | Failure:
         """Have an attempt run, here or at the sidecar of its target."""
-        if dispatch.target == self._context.me:
+        if dispatch.target == self._context.own_target:
             return await self._context.executor.run(dispatch, emit)
         address = self._context.membership.address(dispatch.target)
         if address is None:
--- a/sequoiaarch/home/local_programs.py
+++ b/sequoiaarch/home/local_programs.py
@@ -62,7 +62,7 @@
     def __init__(
         self,
         *,
-        me: TargetName,
+        own_target: TargetName,
         catalogue: Catalogue,
         membership: Membership,
         links: Links,
@@ -72,7 +72,7 @@
         decisions: Decisions,
         refuse_new: Callable[[], Failure | None],
     ) -> None:
-        self._me = me
+        self._own_target = own_target
         self._refuse_new = refuse_new
         self._catalogue = catalogue
         self._membership = membership
@@ -127,7 +127,9 @@
             if isinstance(state, Failure):
                 raise FailureError(state)
             if self._draining:
-                raise fail(ErrorKind.STOPPING, f"target {self._me} takes no new work")
+                raise fail(
+                    ErrorKind.STOPPING, f"target {self._own_target} takes no new work"
+                )
             if state is not None:
                 self._check(state, opening.spec)
                 await self._take_from(state, opening)
@@ -159,7 +161,7 @@
         A home that is only slow or paused can do no harm: the claim that
         follows makes its records count for nothing.
         """
-        if state.released or state.home == self._me:
+        if state.released or state.home == self._own_target:
             return
         address = self._membership.address(state.home)
         if address is None or self._membership.silent(state.home):
@@ -197,7 +199,7 @@
             id=RecordId(new_id("claim")),
             program=program,
             replaces=state.epoch if state else Epoch(0),
-            home=self._me,
+            home=self._own_target,
             block=first_call * FIRST_BLOCK_CALLS,
             spec=None if state else spec,
         )
@@ -214,7 +216,7 @@
         cause = "takeover" if state else "new"
         self._metrics.claims.inc({"cause": cause})
         before = f"after {state.home or 'a release'}" if state else "as a new program"
-        self._decisions.note(program, "home", self._me, f"claimed {before}")
+        self._decisions.note(program, "home", self._own_target, f"claimed {before}")
         running = RunningProgram(
             state=reply.state, shards=self._shards, metrics=self._metrics
         )
@@ -271,7 +273,7 @@
         if not await running.flushed(HANDOVER_TIMEOUT):
             return Failure(
                 kind=ErrorKind.MOVED,
-                reason=f"program {program} has a call under way at {self._me}",
+                reason=f"program {program} has a call under way at {self._own_target}",
             )
         return await self._release(running)
 
--- a/sequoiaarch/home/model_calls.py
+++ b/sequoiaarch/home/model_calls.py
@@ -45,7 +45,7 @@
         running = work.running
         chat = parse_chat(work.request.body)
         extension = check_extension(running, chat)
-        target = work.request.target or self._context.me
+        target = work.request.target or self._context.own_target
         prompt = prompt_bound(chat, self._bytes_per_token(target))
         most = self._context.answer_limit(work.request)
         answer = min(chat.max_tokens or most, most)
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -126,7 +126,7 @@
         self, running: RunningProgram, call: ActiveCall, request: CallRequest
     ) -> None:
         span = self._context.tracing.start(
-            "home", request.trace, program=running.id, home=self._context.me
+            "home", request.trace, program=running.id, home=self._context.own_target
         )
         trace = self._context.tracing.traceparent(span)
         work = Work(running=running, call=call, request=request, trace=trace)
--- a/sequoiaarch/shards/client.py
+++ b/sequoiaarch/shards/client.py
@@ -96,13 +96,13 @@
         local: LocalShards,
         links: Links,
         peers: Callable[[], dict[TargetName, str]],
-        me: TargetName | None,
+        own_target: TargetName | None,
     ) -> None:
         self._shards = shards
         self._local = local
         self._links = links
         self._peers = peers
-        self._me = me
+        self._own_target = own_target
 
     def shard_of(self, program: ProgramId) -> int:
         """Return the shard of a program."""
@@ -121,7 +121,7 @@
         request = SubmitRequest(shard=shard, record=record)
         limit = timeout if timeout is not None else PATIENT_TIMEOUT
         for name in self.keepers(shard):
-            if name == self._me:
+            if name == self._own_target:
                 break
             reply = await self._links.to(peers[name]).call(request, timeout=limit)
             if isinstance(reply, VerdictReply):
@@ -148,7 +148,7 @@
         peers = self._peers()
         request = StateRequest(shard=shard, programs=programs)
         for name in self.keepers(shard):
-            if name == self._me:
+            if name == self._own_target:
                 break
             link = self._links.to(peers[name])
             reply = await link.call(request, timeout=KEEPER_TIMEOUT)
@@ -182,7 +182,7 @@
         peers = self._peers()
         request = HistoryRequest(shard=shard, program=program, after=after)
         for name in self.keepers(shard):
-            if name == self._me:
+            if name == self._own_target:
                 break
             link = self._links.to(peers[name])
             reply = await link.call(request, timeout=KEEPER_TIMEOUT)
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -71,7 +71,7 @@
         self._runner: CallRunner | None = None
         self._dispatched = 0
         self._homes = LocalPrograms(
-            me=target,
+            own_target=target,
             catalogue=core.catalogue,
             membership=core.membership,
             links=core.links,
@@ -222,7 +222,7 @@
             tracing=core.tracing,
         )
         context = HomeContext(
-            me=self._target,
+            own_target=self._target,
             local_programs=self._homes,
             executor=self._executor,
             catalogue=core.catalogue,
--- a/sequoiaarch/tests/shards/keeper_tests.py
+++ b/sequoiaarch/tests/shards/keeper_tests.py
@@ -73,7 +73,7 @@
             local=self.local,
             links=Links(context=context),
             peers=dict,
-            me=TargetName("b"),
+            own_target=TargetName("b"),
         )
         self.keeper = ShardKeeper(
             local=self.local,
