--- a/sequoiaarch/shards/keeper.py
+++ b/sequoiaarch/shards/keeper.py
@@ -44,13 +44,13 @@
         *,
         local: LocalShards,
         shards: ShardClient,
-        mine: Callable[[], list[int]],
+        own_shards: Callable[[], list[int]],
         renew_config: RenewConfig,
         limits: LimitOptions,
     ) -> None:
         self._local = local
         self._shards = shards
-        self._mine = mine
+        self._own_shards = own_shards
         self._renew_config = renew_config
         self._limits = limits
         self._seen: dict[ProgramId, tuple[Offset, float]] = {}
@@ -80,7 +80,7 @@
     async def run(self) -> None:
         """Read the own shards and renew what nears the end of retention."""
         while True:
-            shards = self._mine()
+            shards = self._own_shards()
             for shard in shards:
                 stream = self._local.stream(shard)
                 if await stream.ready(CHECK_INTERVAL):
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -84,7 +84,7 @@
         self._keeper = ShardKeeper(
             local=core.local,
             shards=core.shards,
-            mine=self._kept_shards,
+            own_shards=self._kept_shards,
             renew_config=core.follower.renew_if_due,
             limits=core.settings.limits,
         )
--- a/sequoiaarch/tests/shards/keeper_tests.py
+++ b/sequoiaarch/tests/shards/keeper_tests.py
@@ -78,7 +78,7 @@
         self.keeper = ShardKeeper(
             local=self.local,
             shards=shards,
-            mine=lambda: [SHARD],
+            own_shards=lambda: [SHARD],
             renew_config=mock.AsyncMock(),
             limits=LimitOptions(),
         )
