--- a/sequoiaarch/home/local_programs.py
+++ b/sequoiaarch/home/local_programs.py
@@ -70,10 +70,10 @@
         limits: LimitOptions,
         metrics: Metrics,
         decisions: Decisions,
-        refuse_new: Callable[[], Failure | None],
+        new_program_refusal: Callable[[], Failure | None],
     ) -> None:
         self._own_target = own_target
-        self._refuse_new = refuse_new
+        self._new_program_refusal = new_program_refusal
         self._catalogue = catalogue
         self._membership = membership
         self._links = links
@@ -136,7 +136,7 @@
             elif not opening.create:
                 raise fail(ErrorKind.NOT_FOUND, f"no program {program}")
             elif opening.spec.parent is None:
-                refusal = self._refuse_new()
+                refusal = self._new_program_refusal()
                 if refusal is not None:
                     raise FailureError(refusal)
             running = await self._submit_claim(
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -79,7 +79,7 @@
             limits=core.settings.limits,
             metrics=core.metrics,
             decisions=core.decisions,
-            refuse_new=self._refuse_new,
+            new_program_refusal=self._refuse_new,
         )
         self._keeper = ShardKeeper(
             local=core.local,
