--- a/sequoiaarch/records/acceptance.py
+++ b/sequoiaarch/records/acceptance.py
@@ -77,7 +77,7 @@
     def __init__(
         self,
         *,
-        first: Offset = BEGINNING,
+        first_offset: Offset = BEGINNING,
         distrusted: frozenset[ProgramId] = frozenset(),
     ) -> None:
         self._distrusted = distrusted
@@ -88,8 +88,8 @@
         self._orphans: dict[ProgramId, list[tuple[Offset, ShardRecord]]] = {}
         self._ended: deque[tuple[Offset, ProgramId]] = deque()
         self._ended_keyed: deque[tuple[Offset, ProgramId]] = deque()
-        self._first = first
-        self._next = first
+        self._first = first_offset
+        self._next = first_offset
 
     @property
     def next_offset(self) -> Offset:
--- a/sequoiaarch/shards/stream.py
+++ b/sequoiaarch/shards/stream.py
@@ -199,12 +199,12 @@
             # What was not read has left retention: begin again from what is
             # left, where snapshots stand for the rest.
             log.warning("{} lost records before {}.", self._stream, page.first)
-            self._view = ShardView(first=page.start)
+            self._view = ShardView(first_offset=page.start)
         self._apply(page.start, page.records)
         if self._view.conflicts:
             log.warning("{} is read anew: a late claim came first.", self._stream)
             distrusted = frozenset(self._view.conflicts)
-            self._view = ShardView(first=page.first, distrusted=distrusted)
+            self._view = ShardView(first_offset=page.first, distrusted=distrusted)
             self._ready.clear()
         elif self._view.next_offset >= page.end:
             self._ready.set()
--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -419,7 +419,7 @@
         """Return what the log says of a shard, read anew."""
         name = stream_name(shard)
         first = self.platform.first(name)
-        view = ShardView(first=Offset(first))
+        view = ShardView(first_offset=Offset(first))
         for place, data in enumerate(self.platform.records(name)):
             record = decode_record(data)
             assert record is not None
--- a/sequoiaarch/tests/records/acceptance_tests.py
+++ b/sequoiaarch/tests/records/acceptance_tests.py
@@ -374,7 +374,7 @@
         """Return the state that a reader who begins at an offset comes to."""
         distrusted: frozenset[ProgramId] = frozenset()
         while True:
-            view = ShardView(first=Offset(first), distrusted=distrusted)
+            view = ShardView(first_offset=Offset(first), distrusted=distrusted)
             for offset in range(first, len(log)):
                 view.apply(Offset(offset), log[offset])
             if not view.conflicts:
