--- a/sequoiaarch/gateway/operators.py
+++ b/sequoiaarch/gateway/operators.py
@@ -156,7 +156,7 @@
                 targets=len(targets),
                 targets_taking_work=sum(map(membership.takes_work, targets)),
                 open_calls=self._router.open_calls,
-                log_away=any(stream.away for stream in streams),
+                log_away=any(stream.unavailable for stream in streams),
             )
         )
 
--- a/sequoiaarch/shards/stream.py
+++ b/sequoiaarch/shards/stream.py
@@ -79,7 +79,7 @@
         return self._view
 
     @property
-    def away(self) -> bool:
+    def unavailable(self) -> bool:
         """Return whether the log did not answer lately."""
         return self._away
 
