--- a/sequoiaarch/shards/__init__.py
+++ b/sequoiaarch/shards/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the records of programs in shards of the platform's log."""
+"""Read and append the records of programs in shards of the platform's log."""
--- a/sequoiaarch/shards/client.py
+++ b/sequoiaarch/shards/client.py
@@ -1,4 +1,4 @@
-"""Find the keeper of a shard and fall back to other ways."""
+"""Access shards through their keepers, or through the log if no keeper answers."""
 
 from __future__ import annotations
 
@@ -27,28 +27,28 @@
 
 log = logbook.Logger("shard")
 
-KEEPERS_TRIED = 2
-KEEPER_TIMEOUT = 8.0
-PATIENT_TIMEOUT = 3600.0
-FIRST = Seq(0)
+MAX_KEEPERS = 2  # asked per request
+KEEPER_TIMEOUT = 8.0  # seconds
+MAX_SUBMIT_TIMEOUT = 3600.0  # seconds, where the caller sets no timeout
+BEFORE_FIRST = Seq(0)
 
 
 def shard_of(program: ProgramId, shards: int) -> int:
-    """Return the shard of a program; sub-agents share that of their root."""
+    """Return the shard of a program; sub-agents are in the shard of their root."""
     return xxhash.xxh3_64_intdigest(root_of(program).encode()) % shards
 
 
 def keeper_order(shard: int, names: list[TargetName]) -> list[TargetName]:
-    """Return names in the order in which they should keep a shard."""
+    """Return names by descending rendezvous score for a shard; the first keeps it."""
 
-    def weight(name: TargetName) -> int:
+    def score(name: TargetName) -> int:
         return xxhash.xxh3_64_intdigest(f"{shard}\0{name}".encode())
 
-    return sorted(names, key=weight, reverse=True)
+    return sorted(names, key=score, reverse=True)
 
 
 class LocalShards:
-    """Read and append to shards from this process."""
+    """Shard streams that this process reads, started on first use."""
 
     def __init__(
         self, *, log_service: AppendLog, interval: float, metrics: Metrics
@@ -60,11 +60,11 @@
 
     @property
     def streams(self) -> dict[int, ShardStream]:
-        """Return the shards that are read here."""
+        """Return the streams of the shards that this process reads."""
         return self._streams
 
     def stream(self, shard: int) -> ShardStream:
-        """Return a shard, which is read from now on."""
+        """Return the stream of a shard, and start to read it on first use."""
         stream = self._streams.get(shard)
         if stream is None:
             stream = ShardStream(
@@ -77,16 +77,16 @@
         return stream
 
     def close(self) -> None:
-        """Stop to read and append."""
+        """Stop all streams."""
         for stream in self._streams.values():
             stream.close()
 
 
 class ShardClient:
-    """Reach the shard keepers, or do their work where none answers.
+    """Submit records to shard keepers and query them, or use the log if none answers.
 
-    Two keepers of a shard at once are harmless: every reader judges by what
-    stands in the log, and a record that is appended twice counts once.
+    Several keepers of a shard at once do no harm: all derive the same state from the
+    log, and a record that is appended twice takes effect once.
     """
 
     def __init__(
@@ -109,32 +109,34 @@
         return shard_of(program, self._shards)
 
     def keepers(self, shard: int) -> list[TargetName]:
-        """Return who should keep a shard, best first."""
-        return keeper_order(shard, list(self._peers()))[:KEEPERS_TRIED]
+        """Return the targets whose sidecars keep a shard, in order of preference."""
+        return keeper_order(shard, list(self._peers()))[:MAX_KEEPERS]
 
     async def submit(
         self, record: ShardRecord, *, timeout: float | None
     ) -> VerdictReply | Failure:
-        """Have a record appended and judged."""
+        """Append a record through a keeper and return the verdict on it.
+
+        If `timeout`, in seconds, is None, wait as long as the log is unavailable."""
         shard = self.shard_of(record.program)
         peers = self._peers()
         request = SubmitRequest(shard=shard, record=record)
-        limit = timeout if timeout is not None else PATIENT_TIMEOUT
+        limit = timeout if timeout is not None else MAX_SUBMIT_TIMEOUT
         for name in self.keepers(shard):
             if name == self._own_target:
                 break
             reply = await self._links.to(peers[name]).call(request, timeout=limit)
             if isinstance(reply, VerdictReply):
                 return reply
-            if not isinstance(reply, Failed) or _is_answer(reply.failure):
-                return _failure(reply)
+            if not isinstance(reply, Failed) or _is_final(reply.failure):
+                return _failure_of(reply)
             log.warning("Keeper {} of shard {} did not answer.", name, shard)
-        return await self.submit_here(record, timeout=timeout)
+        return await self.submit_locally(record, timeout=timeout)
 
-    async def submit_here(
+    async def submit_locally(
         self, record: ShardRecord, *, timeout: float | None
     ) -> VerdictReply | Failure:
-        """Append and judge a record in this process."""
+        """Append a record from this process and return the verdict on it."""
         stream = self._local.stream(self.shard_of(record.program))
         verdict = await stream.submit(record, timeout=timeout)
         if isinstance(verdict, Failure):
@@ -144,7 +146,7 @@
     async def states(
         self, shard: int, programs: list[ProgramId]
     ) -> list[ProgramState] | Failure:
-        """Return what the log says of programs of one shard."""
+        """Return the states of programs of one shard; unknown programs are left out."""
         peers = self._peers()
         request = StateRequest(shard=shard, programs=programs)
         for name in self.keepers(shard):
@@ -155,29 +157,29 @@
             if isinstance(reply, StateReply):
                 return reply.states
             log.warning("Keeper {} of shard {} did not answer.", name, shard)
-        return await self.states_here(shard, programs)
+        return await self.states_locally(shard, programs)
 
-    async def states_here(
+    async def states_locally(
         self, shard: int, programs: list[ProgramId]
     ) -> list[ProgramState] | Failure:
-        """Return what this process read of programs of one shard."""
+        """Return the states of programs of one shard as read by this process."""
         stream = self._local.stream(shard)
-        if not await stream.ready(KEEPER_TIMEOUT):
-            return _not_read(shard)
+        if not await stream.wait_ready(KEEPER_TIMEOUT):
+            return _unread_failure(shard)
         found = [stream.state(program) for program in programs]
         return [state for state in found if state is not None]
 
     async def state(self, program: ProgramId) -> ProgramState | None | Failure:
-        """Return what the log says of one program."""
+        """Return the state of a program, or None if it is unknown."""
         found = await self.states(self.shard_of(program), [program])
         if isinstance(found, Failure):
             return found
         return found[0] if found else None
 
     async def commits(
-        self, program: ProgramId, after: Seq = FIRST
+        self, program: ProgramId, after: Seq = BEFORE_FIRST
     ) -> list[Commit] | Failure:
-        """Return the commits of a program that follow a sequence number."""
+        """Return the commits of a program after a sequence number, in order."""
         shard = self.shard_of(program)
         peers = self._peers()
         request = HistoryRequest(shard=shard, program=program, after=after)
@@ -188,36 +190,37 @@
             reply = await link.call(request, timeout=KEEPER_TIMEOUT)
             if isinstance(reply, HistoryReply):
                 records = [decode_record(data) for data in reply.commits]
-                return [one for one in records if isinstance(one, Commit)]
-        return await self.commits_here(shard, program, after)
+                return [commit for commit in records if isinstance(commit, Commit)]
+        return await self.commits_locally(shard, program, after)
 
-    async def commits_here(
+    async def commits_locally(
         self, shard: int, program: ProgramId, after: Seq
     ) -> list[Commit] | Failure:
-        """Return the commits of a program that this process read.
+        """Return the commits of a program as read by this process.
 
-        A process that has not read the shard knows of no program: without the
-        wait a caller was shown an empty history when a second keeper answered.
+        Waits until the shard is read, as the history would seem empty before.
         """
         stream = self._local.stream(shard)
-        if not await stream.ready(KEEPER_TIMEOUT):
-            return _not_read(shard)
+        if not await stream.wait_ready(KEEPER_TIMEOUT):
+            return _unread_failure(shard)
         return await stream.commits(program, after)
 
 
-def _not_read(shard: int) -> Failure:
+def _unread_failure(shard: int) -> Failure:
     return Failure(
         kind=ErrorKind.LOG_UNAVAILABLE,
         reason=f"shard {shard} could not be read from the log",
     )
 
 
-def _is_answer(failure: Failure) -> bool:
-    """Return whether a keeper answered, so that no other need be asked."""
+def _is_final(failure: Failure) -> bool:
+    """Return whether the keeper answered itself, so that no other is asked."""
     return failure.kind is ErrorKind.LOG_UNAVAILABLE
 
 
-def _failure(reply: object) -> Failure:
+def _failure_of(reply: object) -> Failure:
     if isinstance(reply, Failed):
         return reply.failure
-    return Failure(kind=ErrorKind.INTERNAL, reason="the keeper answered otherwise")
+    return Failure(
+        kind=ErrorKind.INTERNAL, reason="unexpected reply from a shard keeper"
+    )
--- a/sequoiaarch/shards/keeper.py
+++ b/sequoiaarch/shards/keeper.py
@@ -1,7 +1,8 @@
-"""Do the work of a shard keeper for homes and gateways.
+"""Serve a shard to homes and gateways, and keep its records within retention.
 
-A keeper has no authority. It combines appends, judges records by the rule
-that every reader applies, and appends again what nears the end of retention.
+The keeper of a shard batches appends, answers queries, and appends a snapshot of a
+program before the log trims its records. It is no leader: every reader derives the same
+state from the log.
 """
 
 from __future__ import annotations
@@ -30,14 +31,14 @@
 
 log = logbook.Logger("keeper")
 
-CHECK_INTERVAL = 1.0
-CONFIG_SHARD = 0
+CHECK_INTERVAL = 1.0  # seconds
+CONFIG_SHARD = 0  # its keeper renews the configuration too
 
 RenewConfig = Callable[[int, float], Awaitable[None]]
 
 
 class ShardKeeper:
-    """Answer for the shards that fall to this process."""
+    """Serve requests about shards, and renew the records of the process's shards."""
 
     def __init__(
         self,
@@ -53,37 +54,37 @@
         self._own_shards = own_shards
         self._renew_config = renew_config
         self._limits = limits
-        self._seen: dict[ProgramId, tuple[Offset, float]] = {}
+        self._oldest_seen: dict[ProgramId, tuple[Offset, float]] = {}
 
     async def submit(self, request: SubmitRequest) -> Reply:
-        """Append and judge a record."""
-        reply = await self._shards.submit_here(request.record, timeout=None)
+        """Append a record and return the verdict on it."""
+        reply = await self._shards.submit_locally(request.record, timeout=None)
         return Failed(failure=reply) if isinstance(reply, Failure) else reply
 
     async def states(self, request: StateRequest) -> Reply:
-        """Tell what the log says of programs."""
-        states = await self._shards.states_here(request.shard, request.programs)
+        """Return the states of programs."""
+        states = await self._shards.states_locally(request.shard, request.programs)
         if isinstance(states, Failure):
             return Failed(failure=states)
         next_offset = self._local.stream(request.shard).view.next_offset
         return StateReply(states=states, next_offset=next_offset)
 
     async def history(self, request: HistoryRequest) -> Reply:
-        """Tell the commits of a program."""
-        commits = await self._shards.commits_here(
+        """Return the commits of a program."""
+        commits = await self._shards.commits_locally(
             request.shard, request.program, request.after
         )
         if isinstance(commits, Failure):
             return Failed(failure=commits)
-        return HistoryReply(commits=[encode_record(one) for one in commits])
+        return HistoryReply(commits=[encode_record(commit) for commit in commits])
 
     async def run(self) -> None:
-        """Read the own shards and renew what nears the end of retention."""
+        """Read this process's shards and renew records that the log may soon trim."""
         while True:
             shards = self._own_shards()
             for shard in shards:
                 stream = self._local.stream(shard)
-                if await stream.ready(CHECK_INTERVAL):
+                if await stream.wait_ready(CHECK_INTERVAL):
                     await self._renew(stream)
             if CONFIG_SHARD in shards:
                 await self._renew_config(
@@ -95,25 +96,26 @@
         now = asyncio.get_running_loop().time()
         for state in list(stream.view.programs.values()):
             if state.ended is not None:
-                self._seen.pop(state.program, None)
-            elif self._due(stream, state, now):
+                self._oldest_seen.pop(state.program, None)
+            elif self._needs_snapshot(stream, state, now):
                 await self._append_snapshot(stream, state.program)
 
-    def _due(self, stream: ShardStream, state: ProgramState, now: float) -> bool:
-        """Return whether a program's oldest record may soon be forgotten."""
+    def _needs_snapshot(
+        self, stream: ShardStream, state: ProgramState, now: float
+    ) -> bool:
+        """Return whether the log may soon trim a program's oldest record."""
         oldest = min([state.base, *state.entries])
-        known, since = self._seen.get(state.program, (oldest, now))
-        if known != oldest:
+        seen, since = self._oldest_seen.get(state.program, (oldest, now))
+        if seen != oldest:
             since = now
-        self._seen[state.program] = (oldest, since)
+        self._oldest_seen[state.program] = (oldest, since)
         if now - since > self._limits.renew_interval:
             return True
         end = stream.view.next_offset
         if oldest < end - self._limits.renew_after:
             return True
-        # The log tells where its memory begins. A record in the oldest
-        # quarter of what is kept is the next to go.
-        first = stream.first
+        # Renews records in the oldest quarter of the log once it has been trimmed.
+        first = stream.first_offset
         return first > 0 and oldest < first + (end - first) // 4
 
     async def _append_snapshot(self, stream: ShardStream, program: ProgramId) -> None:
@@ -123,8 +125,7 @@
         if isinstance(commits, Failure) or state is None:
             return
         if len(commits) != state.seq or stream.view.next_offset - 1 != as_of:
-            # The program moved on while its history was read; the next
-            # round takes it up again.
+            # New records arrived while the history was read; retried at the next check.
             return
         record = Snapshot(
             id=RecordId(new_id("snapshot")),
--- a/sequoiaarch/shards/stream.py
+++ b/sequoiaarch/shards/stream.py
@@ -1,4 +1,4 @@
-"""Tail one shard of the log and append to it in groups."""
+"""Follow one shard of the log and append records to it in batches."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 
 log = logbook.Logger("shard")
 
-READ_LIMIT = 512
-READ_WAIT = 10.0
-GROUP_BYTES = 1024 * 1024
-BACKOFF_FIRST = 0.05
-BACKOFF_LIMIT = 2.0
+MAX_READ_RECORDS = 512
+LONG_POLL_TIMEOUT = 10.0  # seconds
+MAX_BATCH_BYTES = 1024 * 1024
+MIN_BACKOFF = 0.05  # seconds
+MAX_BACKOFF = 2.0  # seconds
 
 
 @dataclass(kw_only=True)
 class _Pending:
-    """Hold a record until its verdict is read."""
+    """Submitted record that waits for its verdict."""
 
     record: ShardRecord
     data: bytes
@@ -36,16 +36,15 @@
 
 
 def stream_name(shard: int) -> str:
-    """Return the name of the stream that holds a shard."""
+    """Return the name of a shard's stream in the log."""
     return f"shard-{shard}"
 
 
 class ShardStream:
-    """Read one shard and append to it, several records at a time.
+    """Follow one shard and append records to it in batches.
 
-    One append is under way at a time; whatever arrives meanwhile goes into
-    the next, so that the rate of appends stays bounded by `interval` while
-    an idle shard appends at once.
+    Only one append runs at a time; records submitted meanwhile go into the next batch.
+    `interval` is the pause between appends in seconds; an idle shard appends at once.
     """
 
     def __init__(
@@ -66,30 +65,30 @@
         self._advanced = asyncio.Condition()
         self._pending: dict[RecordId, _Pending] = {}
         self._arrived = asyncio.Event()
-        self._away = False
-        self._first = Offset(0)
+        self._unavailable = False
+        self._first_offset = Offset(0)
         self._tasks = [
-            asyncio.create_task(self._tail()),
-            asyncio.create_task(self._append_groups()),
+            asyncio.create_task(self._read_loop()),
+            asyncio.create_task(self._append_loop()),
         ]
 
     @property
     def view(self) -> ShardView:
-        """Return the state that was read so far."""
+        """Return the state derived from the records read so far."""
         return self._view
 
     @property
     def unavailable(self) -> bool:
-        """Return whether the log did not answer lately."""
-        return self._away
+        """Return whether the last request to the log failed."""
+        return self._unavailable
 
     @property
-    def first(self) -> Offset:
-        """Return the oldest offset that the log keeps, as read last."""
-        return self._first
+    def first_offset(self) -> Offset:
+        """Return the oldest offset in the log, as of the last read."""
+        return self._first_offset
 
-    async def ready(self, timeout: float) -> bool:
-        """Wait until the shard was read to its end once."""
+    async def wait_ready(self, timeout: float) -> bool:
+        """Wait until the shard is read to its end once; return False on timeout."""
         try:
             async with asyncio.timeout(timeout):
                 await self._ready.wait()
@@ -102,7 +101,7 @@
     ) -> Verdict | Failure:
         """Append a record and return the verdict on it.
 
-        Without a timeout the record waits for as long as the log is away.
+        If `timeout` is None, wait as long as the log is unavailable.
         """
         known = self._view.verdict(record.id)
         if known is not None:
@@ -120,19 +119,20 @@
             async with asyncio.timeout(timeout):
                 return await asyncio.shield(pending.verdict)
         except TimeoutError:
-            return self._give_up(pending)
+            return self._abandon(pending)
 
-    def _give_up(self, pending: _Pending) -> Failure:
+    def _abandon(self, pending: _Pending) -> Failure:
+        """Return the failure of a timed out record; drop it if it was never sent."""
         if not pending.attempted:
             self._pending.pop(pending.record.id, None)
         return Failure(
             kind=ErrorKind.LOG_UNAVAILABLE,
-            reason=f"the log did not take a record of {self._stream} in time",
+            reason=f"appending a record to {self._stream} timed out",
             not_run=NotRun.UNKNOWN if pending.attempted else NotRun.YES,
         )
 
-    async def read_through(self, offset: Offset, timeout: float) -> bool:
-        """Wait until the record at an offset was read."""
+    async def wait_read(self, offset: Offset, timeout: float) -> bool:
+        """Wait until the record at an offset is read; return False on timeout."""
         try:
             async with asyncio.timeout(timeout), self._advanced:
                 await self._advanced.wait_for(lambda: self._view.next_offset > offset)
@@ -140,21 +140,21 @@
             return False
         return True
 
-    async def fresh(self, timeout: float) -> bool:
-        """Read to the end of the shard as it stands now."""
+    async def read_to_end(self, timeout: float) -> bool:
+        """Wait until the present end of the shard is read; return False on failure."""
         page = await self._log.read(
             self._stream, self._view.next_offset, limit=1, wait=0.0
         )
         if isinstance(page, Failure):
             return False
-        return await self.read_through(Offset(page.end - 1), timeout)
+        return await self.wait_read(Offset(page.end - 1), timeout)
 
     def state(self, program: ProgramId) -> ProgramState | None:
-        """Return what the log says of a program."""
+        """Return the state of a program, or None if it is unknown."""
         return self._view.state(program)
 
     async def commits(self, program: ProgramId, after: Seq) -> list[Commit] | Failure:
-        """Return the commits of a program that follow a sequence number."""
+        """Return the commits of a program after a sequence number, in order."""
         state = self._view.state(program)
         if state is None:
             return []
@@ -171,38 +171,44 @@
                     found[commit.seq] = commit
         return [found[seq] for seq in sorted(found) if seq > after]
 
-    async def _tail(self) -> None:
-        backoff = BACKOFF_FIRST
+    async def _read_loop(self) -> None:
+        backoff = MIN_BACKOFF
         while True:
-            wait = READ_WAIT if self._ready.is_set() else 0.0
+            wait = LONG_POLL_TIMEOUT if self._ready.is_set() else 0.0
             page = await self._log.read(
-                self._stream, self._view.next_offset, limit=READ_LIMIT, wait=wait
+                self._stream, self._view.next_offset, limit=MAX_READ_RECORDS, wait=wait
             )
             if isinstance(page, Failure):
-                self._note_away(True)
+                self._set_unavailable(True)
                 await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
-                backoff = min(backoff * 2, BACKOFF_LIMIT)
+                backoff = min(backoff * 2, MAX_BACKOFF)
                 continue
-            backoff = BACKOFF_FIRST
-            self._note_away(False)
-            await self._fold(page)
-
-    def _note_away(self, away: bool) -> None:
-        if away != self._away:
-            self._away = away
-            text = "does not answer" if away else "answers again"
-            log.warning("The log {} for {}.", text, self._stream)
-
-    async def _fold(self, page: Page) -> None:
-        self._first = page.first
+            backoff = MIN_BACKOFF
+            self._set_unavailable(False)
+            await self._apply_page(page)
+
+    def _set_unavailable(self, unavailable: bool) -> None:
+        if unavailable != self._unavailable:
+            self._unavailable = unavailable
+            change = "does not answer" if unavailable else "answers again"
+            log.warning("The log {} for {}.", change, self._stream)
+
+    async def _apply_page(self, page: Page) -> None:
+        self._first_offset = page.first
         if page.start > self._view.next_offset:
-            # What was not read has left retention: begin again from what is
-            # left, where snapshots stand for the rest.
-            log.warning("{} lost records before {}.", self._stream, page.first)
+            # The log was trimmed past the reader; snapshots replace what is missing.
+            log.warning(
+                "{}: records before {} were trimmed before they were read.",
+                self._stream,
+                page.first,
+            )
             self._view = ShardView(first_offset=page.start)
-        self._apply(page.start, page.records)
+        self._apply_records(page.start, page.records)
         if self._view.conflicts:
-            log.warning("{} is read anew: a late claim came first.", self._stream)
+            log.warning(
+                "{} is read again: a snapshot contradicts an earlier claim.",
+                self._stream,
+            )
             snapshot_only = frozenset(self._view.conflicts)
             self._view = ShardView(first_offset=page.first, snapshot_only=snapshot_only)
             self._ready.clear()
@@ -211,9 +217,9 @@
         async with self._advanced:
             self._advanced.notify_all()
 
-    def _apply(self, start: Offset, records: list[bytes]) -> None:
-        for place, data in enumerate(records):
-            offset = Offset(start + place)
+    def _apply_records(self, start: Offset, records: list[bytes]) -> None:
+        for index, data in enumerate(records):
+            offset = Offset(start + index)
             if offset < self._view.next_offset:
                 continue
             record = decode_record(data)
@@ -221,9 +227,9 @@
                 self._view.skip(offset)
                 continue
             verdict = self._view.apply(offset, record)
-            self._settle(verdict)
+            self._resolve(verdict)
 
-    def _settle(self, verdict: Verdict) -> None:
+    def _resolve(self, verdict: Verdict) -> None:
         pending = self._pending.pop(verdict.record, None)
         if pending is None:
             return
@@ -231,66 +237,64 @@
         if not pending.verdict.done():
             pending.verdict.set_result(verdict)
 
-    async def _append_groups(self) -> None:
+    async def _append_loop(self) -> None:
         await self._ready.wait()
-        backoff = BACKOFF_FIRST
+        backoff = MIN_BACKOFF
         while True:
             await self._arrived.wait()
             self._arrived.clear()
             while self._pending:
-                group = self._group()
+                batch = self._next_batch()
                 offset = await self._log.append(
-                    self._stream, [one.data for one in group]
+                    self._stream, [pending.data for pending in batch]
                 )
                 if isinstance(offset, Failure):
                     self._metrics.appends.inc({"result": "failed"})
-                    await self._recover(group, backoff)
-                    backoff = min(backoff * 2, BACKOFF_LIMIT)
+                    await self._resolve_lost_reply(batch, backoff)
+                    backoff = min(backoff * 2, MAX_BACKOFF)
                     continue
-                backoff = BACKOFF_FIRST
+                backoff = MIN_BACKOFF
                 self._metrics.appends.inc({"result": "taken"})
-                await self._take(offset, group)
+                await self._apply_appended(offset, batch)
                 await asyncio.sleep(self._interval)
 
-    def _group(self) -> list[_Pending]:
-        group: list[_Pending] = []
+    def _next_batch(self) -> list[_Pending]:
+        batch: list[_Pending] = []
         size = 0
         for pending in self._pending.values():
-            if group and size + len(pending.data) > GROUP_BYTES:
+            if batch and size + len(pending.data) > MAX_BATCH_BYTES:
                 break
             pending.attempted = True
             size += len(pending.data)
-            group.append(pending)
-        return group
+            batch.append(pending)
+        return batch
 
-    async def _take(self, offset: Offset, group: list[_Pending]) -> None:
-        """Judge the records that were just appended.
+    async def _apply_appended(self, offset: Offset, batch: list[_Pending]) -> None:
+        """Apply records that were just appended, or wait until they are read.
 
-        Their place is known, so they need not be read back where everything
-        before them was read already.
+        They are applied directly if all records before them have been read.
         """
         if offset <= self._view.next_offset:
-            self._apply(offset, [one.data for one in group])
+            self._apply_records(offset, [pending.data for pending in batch])
             async with self._advanced:
                 self._advanced.notify_all()
             return
-        last = Offset(offset + len(group) - 1)
-        while not await self.read_through(last, READ_WAIT):
+        last = Offset(offset + len(batch) - 1)
+        while not await self.wait_read(last, LONG_POLL_TIMEOUT):
             continue
 
-    async def _recover(self, group: list[_Pending], backoff: float) -> None:
-        """Find out whether an append without a reply took effect.
+    async def _resolve_lost_reply(self, batch: list[_Pending], backoff: float) -> None:
+        """Read the shard to its end after a failed append.
 
-        The reply may be lost after the write. Reading to the end of the
-        shard settles the records that stand there; only the others are
-        appended again, and a second copy changes nothing anyway.
+        The append may have succeeded with its reply lost. Records found in the log
+        get their verdicts; only the others are appended again.
         """
-        self._note_away(True)
+        self._set_unavailable(True)
         await asyncio.sleep(backoff * random.uniform(0.5, 1.0))
-        await self.fresh(BACKOFF_LIMIT)
+        await self.read_to_end(MAX_BACKOFF)
 
     def close(self) -> None:
-        """Stop to read and append."""
+        """Stop reading and appending."""
         for task in self._tasks:
             task.cancel()
 
--- a/sequoiaarch/tests/shards/keeper_tests.py
+++ b/sequoiaarch/tests/shards/keeper_tests.py
@@ -1,4 +1,4 @@
-"""Test what a shard keeper says before it has read its shard."""
+"""Test a shard keeper that has not yet read its shard."""
 
 from __future__ import annotations
 
@@ -25,33 +25,33 @@
 
 SHARD = 0
 PROGRAM = ProgramId("alpha:subject")
-PATIENCE = 10.0
+TIMEOUT = 10.0
 
 
 class GatedLog:
-    """Answer no read until the gate is open."""
+    """Log whose reads block until `gate` is set."""
 
     def __init__(self, log: MemoryLog) -> None:
         self._log = log
         self.gate = asyncio.Event()
 
     async def append(self, stream: str, records: list[bytes]) -> Offset | Failure:
-        """Append at once."""
+        """Append without waiting for the gate."""
         return await self._log.append(stream, records)
 
     async def read(
         self, stream: str, start: Offset, *, limit: int, wait: float
     ) -> Page | Failure:
-        """Read once the gate is open."""
+        """Read once the gate is set."""
         await self.gate.wait()
         return await self._log.read(stream, start, limit=limit, wait=wait)
 
 
 class KeeperTests(unittest.IsolatedAsyncioTestCase):
-    """Ask a keeper that has just taken over a shard with one program."""
+    """Query a keeper that has just taken over a shard with one program."""
 
     async def asyncSetUp(self) -> None:
-        """Write a program of one call to the log, and start a keeper."""
+        """Write the claim of a program to the log, and start a keeper."""
         log = MemoryLog()
         spec = ProgramSpec(workspace=Workspace("alpha"), name="sample", budget=1000)
         claim = Claim(
@@ -83,18 +83,17 @@
             limits=LimitOptions(),
         )
 
-    async def test_history_is_not_told_before_the_shard_is_read(self) -> None:
-        """Say that the history is not known yet, rather than that there is none.
+    async def test_history_fails_until_the_shard_is_read(self) -> None:
+        """Fail rather than return an empty history before the shard is read.
 
-        A gateway asks a first keeper, which is too slow, then a second, which
-        has never read the shard. It answered with no commits, and a caller that
-        asked for its conversation was shown an empty one.
+        A caller would otherwise see an empty conversation if a gateway falls back to a
+        second keeper.
         """
         request = HistoryRequest(shard=SHARD, program=PROGRAM)
         with mock.patch.object(client_module, "KEEPER_TIMEOUT", 0.05):
             reply = await self.keeper.history(request)
         self.assertIsInstance(reply, Failed)
         self.log.gate.set()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             reply = await self.keeper.history(request)
         self.assertIsInstance(reply, HistoryReply)
--- a/sequoiaarch/tests/shards/retention_tests.py
+++ b/sequoiaarch/tests/shards/retention_tests.py
@@ -1,4 +1,4 @@
-"""Test that a program outlives the log's memory of its records."""
+"""Test that a program survives the trimming of its records from the log."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from ...shards.stream import stream_name
 from ..base import SHARDS, Conversation, SystemUnderTest, wait_until
 
-KEPT = 60
+RETAINED_RECORDS = 60
 PROGRAM = "sleeper"
 
 
 class RetentionTests(unittest.TestCase):
-    """Let the log forget while a program pauses."""
+    """Trim the log while a program is idle."""
 
     def setUp(self) -> None:
-        """Start a system whose log keeps few records."""
+        """Start a system whose log retains few records."""
         self.system = SystemUnderTest(
             engines=2,
             limits=LimitOptions(
@@ -28,63 +28,70 @@
             ),
         ).start()
         self.addCleanup(self.system.stop)
-        self.system.platform.faults.retention = KEPT
+        self.system.platform.faults.retention = RETAINED_RECORDS
 
-    def fill(self) -> None:
-        """Append records of other programs until all older ones are gone."""
-        before = {
-            name: self.system.platform.end(stream_name(name)) for name in range(SHARDS)
+    def append_until_trimmed(self) -> None:
+        """Append records of other programs until all present records are trimmed."""
+        ends = {
+            shard: self.system.platform.end(stream_name(shard))
+            for shard in range(SHARDS)
         }
         count = 0
         while any(
-            self.system.platform.first(stream_name(shard)) <= before[shard]
-            for shard in before
+            self.system.platform.first(stream_name(shard)) <= ends[shard]
+            for shard in ends
         ):
             count += 1
             filler = Conversation(
                 client=self.system.client(), program=f"filler-{count}"
             )
             filler.say("filler")
-            # The log forgets by the count here, and by the time on a platform:
-            # a fast machine wrote all that is kept between two rounds of a keeper.
-            wait_until(self.renewed, "the program is appended again in time")
+            # This log retains a number of records: wait, so that a fast machine does
+            # not trim the program's records between two checks of a keeper.
+            wait_until(self.is_renewed, "the program is appended again in time")
 
-    def renewed(self) -> bool:
-        """Return whether all records of the program are among the newest half."""
+    def is_renewed(self) -> bool:
+        """Return whether all records of the program are in the log's newest half."""
         state = self.system.state(PROGRAM)
         views = [self.system.view(shard) for shard in range(SHARDS)]
-        view = next(one for one in views if one.state(state.program) is not None)
-        return min([state.base, *state.entries]) > view.next_offset - KEPT // 2
+        view = next(
+            candidate
+            for candidate in views
+            if candidate.state(state.program) is not None
+        )
+        return (
+            min([state.base, *state.entries]) > view.next_offset - RETAINED_RECORDS // 2
+        )
 
-    def test_conversation_goes_on_after_a_long_pause(self) -> None:
-        """Go on where the log holds no record of the time before the pause.
+    def test_conversation_continues_after_its_records_are_trimmed(self) -> None:
+        """Continue a conversation whose original records the log has trimmed.
 
-        The caller pauses; meanwhile the log forgets everything that was
-        written until then. Every process that remembers dies. New ones read
-        only what is left, and the caller's next turn must extend a history
-        that they know, under a configuration that they know.
+        All processes are killed, so that new ones know the history and the
+        configuration only from the records that were renewed.
         """
-        talk = Conversation(client=self.system.client(), program=PROGRAM)
-        talk.say("before the pause", seq=1)
-        talk.tool("slip", seq=2)
+        conversation = Conversation(client=self.system.client(), program=PROGRAM)
+        conversation.say("before the pause", seq=1)
+        conversation.tool("slip", seq=2)
         wait_until(lambda: self.system.state(PROGRAM).seq == 2, "both commits")
-        self.fill()
-        self.system.platform.faults.retention = KEPT
+        self.append_until_trimmed()
+        self.system.platform.faults.retention = RETAINED_RECORDS
         names = list(self.system.nodes)
-        documents = {one.name: one for one in self.system.documents_in_force()}
+        documents = {
+            document.name: document for document in self.system.documents_in_force()
+        }
         for name in names:
             self.system.kill(name)
         for name, document in documents.items():
             node = self.system.add_sidecar(name, document.spec.address)
             self.system.start_sidecar(node)
         self.system.add_gateway("gateway-9")
-        talk.client = self.system.client("gateway-9")
-        talk.say("after the pause", seq=3)
-        again = talk.tool("slip", seq=2)
-        self.assertEqual(again["run"], 1)
+        conversation.client = self.system.client("gateway-9")
+        conversation.say("after the pause", seq=3)
+        repeated = conversation.tool("slip", seq=2)
+        self.assertEqual(repeated["run"], 1)
         self.assertEqual(self.system.executions()["slip"], 1)
-        wait_until(lambda: len(talk.kept()) == 4, "all turns")
+        wait_until(lambda: len(conversation.kept()) == 4, "all turns")
         self.assertEqual(
-            [one["content"] for one in talk.kept()],
-            [one["content"] for one in talk.messages],
+            [message["content"] for message in conversation.kept()],
+            [message["content"] for message in conversation.messages],
         )
