--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -49,7 +49,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
-    def running(self) -> int:
+    def running_calls(self) -> int:
         """Return the calls that are under way."""
         return len(self._tasks)
 
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -364,7 +364,7 @@
             log.warning("Stopping after {} s with work under way.", timeout)
 
     def _busy(self) -> bool:
-        running = self._runner.running if self._runner else 0
+        running = self._runner.running_calls if self._runner else 0
         programs = any(one.busy for one in self._homes.programs.values())
         return bool(running or self._dispatched or programs)
 
