--- a/sequoiaarch/home/__init__.py
+++ b/sequoiaarch/home/__init__.py
@@ -1,1 +1,1 @@
-"""Run programs: their order, history and budget."""
+"""Run the calls of programs: order, history, budget and commits."""
--- a/sequoiaarch/home/answers.py
+++ b/sequoiaarch/home/answers.py
@@ -1,4 +1,4 @@
-"""Write the JSON body that tells a caller of an error."""
+"""Encode failures as JSON error responses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Tell what went wrong; `error` repeats it as usual clients expect."""
+    """Body of an error response; `error` repeats it in the OpenAI format."""
 
     kind: str
     reason: str
@@ -21,7 +21,7 @@
 
 
 def error_body(failure: Failure) -> ErrorBody:
-    """Return the body for a failure."""
+    """Return the error body of a failure."""
     run_state = failure.run_state
     not_run: bool | str = run_state is NotRun.YES
     if run_state is NotRun.UNKNOWN:
@@ -43,6 +43,6 @@
 
 
 def error_answer(failure: Failure) -> CallAnswer:
-    """Return the whole answer for a failure."""
+    """Return the complete error response for a failure."""
     body = msgspec.json.encode(error_body(failure))
     return CallAnswer(status=failure.answer.status, body=body)
--- a/sequoiaarch/home/calls.py
+++ b/sequoiaarch/home/calls.py
@@ -1,4 +1,4 @@
-"""Follow one call of a program from admission to commit."""
+"""Share the events of one call between callers, from admission to commit."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ActiveCall:
-    """Hold a call that runs or was answered lately, for all who ask for it.
+    """Call that is running or was answered recently.
 
-    A caller that lost its gateway asks again through another one and gets
-    the same answer from its beginning, while the call goes on.
+    A caller whose gateway failed can repeat its request through another one and
+    receives the same answer from the start.
     """
 
     def __init__(
@@ -33,68 +33,68 @@
         self.seq = seq
         self.key = key
         self._chunks: list[Chunk] = []
-        self._followers: list[asyncio.Queue[Event]] = []
+        self._subscribers: list[asyncio.Queue[Event]] = []
         self._done: Done | Failure | None = None
-        self._committed: asyncio.Future[Failure | None] = (
+        self._commit_result: asyncio.Future[Failure | None] = (
             asyncio.get_running_loop().create_future()
         )
 
     @property
     def done(self) -> Done | Failure | None:
-        """Return how the call ended, or None while it runs."""
+        """Return the result of the call, or None while it runs."""
         return self._done
 
     @property
-    def kept(self) -> bool:
-        """Return whether the log holds the call."""
+    def committed(self) -> bool:
+        """Return whether the call is committed to the log."""
         return (
-            self._committed.done()
-            and not self._committed.cancelled()
-            and self._committed.result() is None
+            self._commit_result.done()
+            and not self._commit_result.cancelled()
+            and self._commit_result.result() is None
         )
 
-    def follow(self) -> asyncio.Queue[Event]:
-        """Return a queue that gets all events of the call from the first."""
+    def subscribe(self) -> asyncio.Queue[Event]:
+        """Return a queue that receives all events of the call from the first."""
         events: asyncio.Queue[Event] = asyncio.Queue()
         for chunk in self._chunks:
             events.put_nowait(chunk)
         if self._done is not None:
             events.put_nowait(self._done)
         else:
-            self._followers.append(events)
+            self._subscribers.append(events)
         return events
 
     def emit(self, payload: bytes) -> None:
-        """Hand one piece of the answer to all followers."""
+        """Send one chunk of the answer to all subscribers."""
         if self._done is not None:
             return
         chunk = Chunk(data=payload)
         self._chunks.append(chunk)
-        for follower in self._followers:
-            follower.put_nowait(chunk)
+        for subscriber in self._subscribers:
+            subscriber.put_nowait(chunk)
 
     def end(self, done: Done | Failure) -> None:
-        """End the call for all followers."""
+        """End the call and send its result to all subscribers."""
         if self._done is not None:
             return
         self._done = done
-        for follower in self._followers:
-            follower.put_nowait(done)
-        self._followers.clear()
-        # The whole answer stands in `done`; the pieces are not needed again.
+        for subscriber in self._subscribers:
+            subscriber.put_nowait(done)
+        self._subscribers.clear()
+        # `done` holds the complete answer, so the chunks can be freed.
         if isinstance(done, Done):
             self._chunks.clear()
-            if self.kept:
+            if self.committed:
                 self._done = msgspec.structs.replace(done, turn=None)
 
-    def settle(self, failure: Failure | None) -> None:
-        """Say that the log holds the call, or why it never will."""
-        if not self._committed.done():
-            self._committed.set_result(failure)
+    def resolve_commit(self, failure: Failure | None) -> None:
+        """Record that the call is committed, or why it never will be."""
+        if not self._commit_result.done():
+            self._commit_result.set_result(failure)
         if failure is None and isinstance(self._done, Done):
-            # The log holds the turn; only the answer may be asked for again.
+            # The turn is in the log, so only the answer is still needed.
             self._done = msgspec.structs.replace(self._done, turn=None)
 
-    async def settled(self) -> Failure | None:
-        """Wait until the log holds the call, or will not."""
-        return await asyncio.shield(self._committed)
+    async def wait_committed(self) -> Failure | None:
+        """Wait until the call is committed; return a failure if it never will be."""
+        return await asyncio.shield(self._commit_result)
--- a/sequoiaarch/home/chat.py
+++ b/sequoiaarch/home/chat.py
@@ -1,4 +1,4 @@
-"""Read chat requests, and assemble answers from streamed events."""
+"""Parse chat completion requests, and assemble answers from streamed chunks."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from ..errors import ErrorKind, fail
 
-MESSAGE_OVERHEAD = 8
-DIGEST_START = ""
+MESSAGE_OVERHEAD = 8  # tokens
+EMPTY_DIGEST = ""
 NULL = msgspec.Raw(b"null")
 
 
 class Function(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Name the function of a tool call."""
+    """Function of a tool call."""
 
     name: str = ""
     arguments: str = ""
 
 
 class ToolCall(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Ask for a tool."""
+    """Call of a tool, requested by the model."""
 
     id: str = ""
     type: str = "function"
@@ -30,10 +30,9 @@
 
 
 class ChatMessage(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Hold what counts of one message of a history.
+    """Fields of a message that are part of the history.
 
-    Clients add and drop empty fields as they like, so two messages are the
-    same where these fields are.
+    Messages are equal if these fields are; clients may add or omit empty fields.
     """
 
     role: str
@@ -44,7 +43,9 @@
 
 
 class Chat(msgspec.Struct, kw_only=True):
-    """Hold a chat request: its raw fields and what we read of them."""
+    """Chat request: its raw fields and those that are parsed.
+
+    `size` is the length of the raw messages in bytes."""
 
     raw: dict[str, msgspec.Raw]
     messages: list[ChatMessage]
@@ -54,8 +55,8 @@
     size: int
 
 
-class _Fields(msgspec.Struct, kw_only=True):
-    """Read the fields of a chat request that we need."""
+class _ChatFields(msgspec.Struct, kw_only=True):
+    """Fields of a chat request that are parsed."""
 
     messages: list[ChatMessage]
     model: str
@@ -66,15 +67,15 @@
 
 
 _ENCODER = msgspec.json.Encoder(order="deterministic")
-_FIELDS = msgspec.json.Decoder(_Fields)
-_RAW = msgspec.json.Decoder(dict[str, msgspec.Raw])
+_FIELDS_DECODER = msgspec.json.Decoder(_ChatFields)
+_RAW_DECODER = msgspec.json.Decoder(dict[str, msgspec.Raw])
 
 
 def parse_chat(body: bytes) -> Chat:
-    """Return the chat request in a body, or fail with the field at fault."""
+    """Parse a chat request; raise FailureError with the name of an invalid field."""
     try:
-        fields = _FIELDS.decode(body)
-        raw = _RAW.decode(body)
+        fields = _FIELDS_DECODER.decode(body)
+        raw = _RAW_DECODER.decode(body)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at ")
         field = place.strip("`").removeprefix("$.") or None
@@ -82,9 +83,11 @@
     except msgspec.DecodeError as error:
         raise fail(ErrorKind.MALFORMED, f"the body is not JSON: {error}") from None
     if not fields.messages:
-        raise fail(ErrorKind.MALFORMED, "must hold a message", field="messages")
+        raise fail(
+            ErrorKind.MALFORMED, "must contain at least one message", field="messages"
+        )
     if fields.n not in (None, 1):
-        raise fail(ErrorKind.MALFORMED, "only one answer is given", field="n")
+        raise fail(ErrorKind.MALFORMED, "only one choice is supported", field="n")
     limit = fields.max_completion_tokens or fields.max_tokens
     if limit is not None and limit < 1:
         raise fail(ErrorKind.MALFORMED, "must be at least 1", field="max_tokens")
@@ -99,7 +102,7 @@
 
 
 def engine_body(chat: Chat, max_tokens: int) -> bytes:
-    """Return the body that the engine gets: streamed, bounded, with usage."""
+    """Return the body for the engine: streamed, with usage and a token limit."""
     raw = dict(chat.raw)
     raw.pop("max_completion_tokens", None)
     raw["max_tokens"] = msgspec.Raw(str(max_tokens).encode())
@@ -108,23 +111,23 @@
     return msgspec.json.encode(raw)
 
 
-def prompt_bound(chat: Chat, min_bytes_per_token: float) -> int:
-    """Return a number of tokens that the prompt can't exceed.
+def max_prompt_tokens(chat: Chat, min_bytes_per_token: float) -> int:
+    """Return an upper bound of the prompt's tokens.
 
-    A byte-level tokenizer never makes more tokens than there are bytes; a
-    target whose tokenizer is known may state a higher bound.
+    A byte-level tokenizer makes at most one token per byte; targets may configure a
+    higher `min_bytes_per_token`.
     """
     overhead = MESSAGE_OVERHEAD * len(chat.messages)
     return int(chat.size / min_bytes_per_token) + overhead
 
 
 def estimate_tokens(chat: Chat) -> int:
-    """Return about how many tokens the prompt has."""
+    """Return an estimate of the prompt's tokens."""
     return chat.size // 4 + len(chat.messages)
 
 
-def digest_chain(messages: list[ChatMessage], start: str = DIGEST_START) -> str:
-    """Return the digest of a history that goes on from an earlier digest."""
+def digest_chain(messages: list[ChatMessage], start: str = EMPTY_DIGEST) -> str:
+    """Return the digest of a history that continues one with digest `start`."""
     digest = start
     for message in messages:
         data = _ENCODER.encode(message)
@@ -133,116 +136,116 @@
 
 
 def encode_messages(messages: list[ChatMessage]) -> bytes:
-    """Return messages as they stand in a commit."""
+    """Encode messages for a commit."""
     return _ENCODER.encode(messages)
 
 
 def decode_messages(data: bytes) -> list[ChatMessage]:
-    """Return the messages that stand in a commit."""
+    """Decode the messages of a commit."""
     return msgspec.json.decode(data, type=list[ChatMessage]) if data else []
 
 
-class _DeltaFunction(msgspec.Struct):
-    """Read a part of a function."""
+class _FunctionDelta(msgspec.Struct):
+    """Part of the function of a tool call in a chunk."""
 
     name: str | None = None
     arguments: str | None = None
 
 
-class _DeltaCall(msgspec.Struct):
-    """Read a part of a tool call."""
+class _ToolCallDelta(msgspec.Struct):
+    """Part of a tool call in a chunk."""
 
     index: int = 0
     id: str | None = None
-    function: _DeltaFunction | None = None
+    function: _FunctionDelta | None = None
 
 
 class _Delta(msgspec.Struct):
-    """Read a part of a message."""
+    """Part of a message in a chunk."""
 
     content: str | None = None
-    tool_calls: list[_DeltaCall] | None = None
+    tool_calls: list[_ToolCallDelta] | None = None
 
 
-class _ChoicePart(msgspec.Struct):
-    """Read a part of a choice."""
+class _ChunkChoice(msgspec.Struct):
+    """Choice of a chunk."""
 
     delta: _Delta = msgspec.field(default_factory=_Delta)
     finish_reason: str | None = None
 
 
-class _Event(msgspec.Struct):
-    """Read one streamed event."""
+class _CompletionChunk(msgspec.Struct):
+    """One streamed chunk of a chat completion."""
 
     id: str = ""
     created: int = 0
     model: str = ""
-    choices: list[_ChoicePart] = []
+    choices: list[_ChunkChoice] = []
     usage: msgspec.Raw = NULL
 
 
-class AnswerMessage(msgspec.Struct, kw_only=True):
-    """Hold the message of a whole answer."""
+class CompletionMessage(msgspec.Struct, kw_only=True):
+    """Message of a complete chat completion."""
 
     role: str = "assistant"
     content: str | None = None
     tool_calls: list[ToolCall] | msgspec.UnsetType = msgspec.UNSET
 
 
-class AnswerChoice(msgspec.Struct, kw_only=True):
-    """Hold the choice of a whole answer."""
+class CompletionChoice(msgspec.Struct, kw_only=True):
+    """Choice of a complete chat completion."""
 
     index: int = 0
-    message: AnswerMessage
+    message: CompletionMessage
     finish_reason: str | None
 
 
-class WholeAnswer(msgspec.Struct, kw_only=True):
-    """Hold a whole answer as callers know it."""
+class ChatCompletion(msgspec.Struct, kw_only=True):
+    """Complete chat completion, as sent to callers that do not stream."""
 
     id: str
     object: str = "chat.completion"
     created: int = 0
     model: str
-    choices: list[AnswerChoice]
+    choices: list[CompletionChoice]
     usage: msgspec.Raw = NULL
 
 
-_EVENTS = msgspec.json.Decoder(_Event)
+_CHUNK_DECODER = msgspec.json.Decoder(_CompletionChunk)
 
 
 class AnswerBuilder:
-    """Assemble a whole answer from the payloads of its events."""
+    """Assembles a chat completion from its streamed chunks."""
 
     def __init__(self) -> None:
-        self._texts: list[str] = []
-        self._calls: dict[int, ToolCall] = {}
-        self._finish: str | None = None
-        self._last = _Event()
+        self._content: list[str] = []
+        self._tool_calls_by_index: dict[int, ToolCall] = {}
+        self._finish_reason: str | None = None
+        self._last_chunk = _CompletionChunk()
         self._usage = NULL
-        self.pieces = 0
+        self.content_chunks = 0
 
     def add(self, payload: bytes) -> None:
-        """Take in one event."""
+        """Add the payload of one event; ignore invalid ones."""
         try:
-            event = _EVENTS.decode(payload)
+            chunk = _CHUNK_DECODER.decode(payload)
         except msgspec.DecodeError:
             return
-        self._last = event
-        if event.usage != NULL:
-            self._usage = event.usage
-        for choice in event.choices:
-            self._finish = choice.finish_reason or self._finish
+        self._last_chunk = chunk
+        if chunk.usage != NULL:
+            self._usage = chunk.usage
+        for choice in chunk.choices:
+            self._finish_reason = choice.finish_reason or self._finish_reason
             if choice.delta.content:
-                self.pieces += 1
-                self._texts.append(choice.delta.content)
+                self.content_chunks += 1
+                self._content.append(choice.delta.content)
             for part in choice.delta.tool_calls or ():
                 self._add_call(part)
 
-    def _add_call(self, part: _DeltaCall) -> None:
-        known = self._calls.get(part.index, ToolCall())
-        function = part.function or _DeltaFunction()
-        self._calls[part.index] = ToolCall(
+    def _add_call(self, part: _ToolCallDelta) -> None:
+        known = self._tool_calls_by_index.get(part.index, ToolCall())
+        function = part.function or _FunctionDelta()
+        self._tool_calls_by_index[part.index] = ToolCall(
             id=part.id or known.id,
             function=Function(
                 name=function.name or known.function.name,
@@ -250,41 +253,46 @@
             ),
         )
 
-    def cut(self) -> None:
-        """Note that the answer was cut at its bound."""
-        self._finish = "length"
+    def mark_truncated(self) -> None:
+        """Mark the answer as truncated at its token limit."""
+        self._finish_reason = "length"
 
     @property
     def message(self) -> ChatMessage:
-        """Return the message as it goes into the history."""
+        """Return the message for the history."""
         return ChatMessage(
             role="assistant",
-            content="".join(self._texts) or None,
+            content="".join(self._content) or None,
             tool_calls=self._tool_calls or None,
         )
 
     @property
     def _tool_calls(self) -> list[ToolCall]:
-        return [self._calls[index] for index in sorted(self._calls)]
+        return [
+            self._tool_calls_by_index[index]
+            for index in sorted(self._tool_calls_by_index)
+        ]
 
     def body(self) -> bytes:
-        """Return the whole answer."""
-        message = AnswerMessage(content="".join(self._texts) or None)
-        if self._calls:
+        """Return the JSON body of the complete answer."""
+        message = CompletionMessage(content="".join(self._content) or None)
+        if self._tool_calls_by_index:
             message.tool_calls = self._tool_calls
-        answer = WholeAnswer(
-            id=self._last.id,
-            created=self._last.created,
-            model=self._last.model,
-            choices=[AnswerChoice(message=message, finish_reason=self._finish)],
+        answer = ChatCompletion(
+            id=self._last_chunk.id,
+            created=self._last_chunk.created,
+            model=self._last_chunk.model,
+            choices=[
+                CompletionChoice(message=message, finish_reason=self._finish_reason)
+            ],
             usage=self._usage,
         )
         return msgspec.json.encode(answer)
 
 
 def replay_events(body: bytes) -> list[bytes]:
-    """Return the events that stream an answer which is whole already."""
-    answer = msgspec.json.decode(body, type=WholeAnswer)
+    """Return the events that stream a complete answer."""
+    answer = msgspec.json.decode(body, type=ChatCompletion)
     choice = answer.choices[0]
     delta: dict[str, Any] = {"role": "assistant", "content": choice.message.content}
     calls = choice.message.tool_calls
@@ -293,7 +301,7 @@
             {"index": index, **msgspec.to_builtins(call)}
             for index, call in enumerate(calls)
         ]
-    event: dict[str, Any] = {
+    chunk: dict[str, Any] = {
         "id": answer.id,
         "object": "chat.completion.chunk",
         "created": answer.created,
@@ -303,5 +311,5 @@
         ],
     }
     if answer.usage != NULL:
-        event["usage"] = answer.usage
-    return [msgspec.json.encode(event)]
+        chunk["usage"] = answer.usage
+    return [msgspec.json.encode(chunk)]
--- a/sequoiaarch/home/context.py
+++ b/sequoiaarch/home/context.py
@@ -1,4 +1,4 @@
-"""Join what the parts of a home need."""
+"""Define the context in which a sidecar runs calls."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HomeContext:
-    """Hold what is needed to run calls at this sidecar."""
+    """Services and settings that calls at this sidecar share."""
 
     own_target: TargetName
     local_programs: LocalPrograms
@@ -39,14 +39,16 @@
     load: Callable[[], Load]
 
     def answer_limit(self, request: CallRequest) -> int:
-        """Return the most tokens that an answer of the program may have."""
+        """Return the maximum number of tokens in an answer to a request."""
         document = self.catalogue.program(request.spec.name)
         return document.spec.max_answer_tokens if document else DEFAULT_ANSWER_TOKENS
 
 
 @dataclass(frozen=True, kw_only=True)
-class Work:
-    """Hold one call on its way; `trace` names the span of the home."""
+class CallJob:
+    """One call to run, with its program and request.
+
+    `trace` is the W3C traceparent of the span that covers the call."""
 
     running: RunningProgram
     call: ActiveCall
--- a/sequoiaarch/home/dispatcher.py
+++ b/sequoiaarch/home/dispatcher.py
@@ -1,4 +1,4 @@
-"""Have attempts run, here or at the sidecar of another target."""
+"""Dispatch attempts to the executor of this sidecar or of another."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 
 
 class Dispatcher:
-    """Deliver each attempt once."""
+    """Dispatches each attempt to the sidecar of its target, without retries."""
 
     def __init__(self, *, context: HomeContext) -> None:
         self._context = context
 
     async def run(self, dispatch: DispatchRequest, emit: Emit) -> Execution | Failure:
-        """Have an attempt run, here or at the sidecar of its target."""
+        """Run an attempt at its target and emit the payloads of its answer."""
         if dispatch.target == self._context.own_target:
             return await self._context.executor.run(dispatch, emit)
         address = self._context.membership.address(dispatch.target)
         if address is None:
             return Failure(
-                kind=ErrorKind.NO_TARGET, reason=f"target {dispatch.target} is gone"
+                kind=ErrorKind.NO_TARGET,
+                reason=f"target {dispatch.target} has no known address",
             )
         self._context.membership.note_sent(dispatch.target)
         async for reply in self._context.links.to(address).stream(dispatch):
@@ -43,12 +44,16 @@
             elif isinstance(reply, Failed):
                 self._context.membership.note_load(reply.load)
                 return self._target_failure(dispatch.target, reply.failure)
-        return Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason="no last reply")
+        return Failure(
+            kind=ErrorKind.OUTCOME_UNKNOWN,
+            reason="the reply stream of the target ended early",
+        )
 
     def _target_failure(self, target: TargetName, failure: Failure) -> Failure:
-        """Return a failure in the words of the target's own failures.
+        """Return the failure to report for an attempt at another target.
 
-        Only a gateway may conclude from an interruption that a home is lost.
+        INTERRUPTED becomes TARGET_FAILED, since gateways take INTERRUPTED as the loss
+        of the program's home.
         """
         if failure.kind is not ErrorKind.INTERRUPTED:
             return failure
--- a/sequoiaarch/home/local_programs.py
+++ b/sequoiaarch/home/local_programs.py
@@ -1,4 +1,4 @@
-"""Keep the programs whose home is this sidecar, and take over others."""
+"""Manage the programs whose home is this sidecar: claim, release and end them."""
 
 from __future__ import annotations
 
@@ -31,33 +31,34 @@
 from ..wire.links import Links
 from ..wire.messages import Accepted, CallKind, Done, Failed, HandoverRequest, Turn
 from .calls import ActiveCall
-from .program import RunningProgram, superseded
+from .program import RunningProgram, superseded_failure
 
 log = logbook.Logger("home")
 
-HANDOVER_TIMEOUT = 5.0
-IDLE_CHECK = 5.0
-FIRST_BLOCK_CALLS = 2
-CLAIMS_TRIED = 3
+HANDOVER_TIMEOUT = 5.0  # seconds
+IDLE_CHECK_INTERVAL = 5.0  # seconds
+CALLS_PER_FIRST_BLOCK = 2
+MAX_CLAIM_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, kw_only=True)
 class OpenRequest:
-    """Say which program to open and what the asker knows of it.
+    """Program to open, and what the requester knows of its previous home.
 
-    `first_call` is the number of tokens that the next call may need.
+    `first_call_tokens` is the number of tokens that the next call may need. An unknown
+    program is only created if `create` is set.
     """
 
     program: ProgramId
     spec: ProgramSpec
-    first_call: int = 0
+    first_call_tokens: int = 0
     create: bool = False
     previous_home: TargetName | None = None
     previous_silent: bool = False
 
 
 class LocalPrograms:
-    """Open, release and end programs."""
+    """The programs whose home is this sidecar."""
 
     def __init__(
         self,
@@ -82,47 +83,49 @@
         self._metrics = metrics
         self._decisions = decisions
         self._programs: dict[ProgramId, RunningProgram] = {}
-        self._opening: defaultdict[ProgramId, asyncio.Lock] = defaultdict(asyncio.Lock)
+        self._open_locks: defaultdict[ProgramId, asyncio.Lock] = defaultdict(
+            asyncio.Lock
+        )
         self._draining = False
         self._departures: asyncio.Queue[tuple[ProgramId, str]] = asyncio.Queue()
 
     @property
     def programs(self) -> dict[ProgramId, RunningProgram]:
-        """Return the programs at home here."""
+        """Return the programs whose home is this sidecar."""
         return self._programs
 
     @property
     def draining(self) -> bool:
-        """Return whether no new program is taken."""
+        """Return whether new programs are refused."""
         return self._draining
 
     @property
     def departures(self) -> asyncio.Queue[tuple[ProgramId, str]]:
-        """Return the programs that ended or left, with the cause."""
+        """Return the queue of programs that ended or moved away, with the cause."""
         return self._departures
 
     @property
     def uncommitted_bytes(self) -> int:
-        """Return the bytes of turns that the log has not taken."""
-        return sum(one.uncommitted_bytes for one in self._programs.values())
+        """Return the bytes of turns that are not committed to the log."""
+        return sum(running.uncommitted_bytes for running in self._programs.values())
 
     def policy(self, spec: ProgramSpec) -> PolicySpecification:
         """Return the policy of a program."""
         return self._catalogue.policy_for(spec.labels)
 
-    async def open(self, opening: OpenRequest) -> RunningProgram:
-        """Return a program that is at home here, claiming it where needed."""
-        program = opening.program
-        async with self._opening[program]:
+    async def open(self, open_request: OpenRequest) -> RunningProgram:
+        """Return a program, and claim it first if its home is elsewhere."""
+        program = open_request.program
+        async with self._open_locks[program]:
             running = self._programs.get(program)
             if running is not None and running.lost is None:
                 return running
-            return await self._claim(opening)
+            return await self._claim(open_request)
 
-    async def _claim(self, opening: OpenRequest) -> RunningProgram:
-        program = opening.program
+    async def _claim(self, open_request: OpenRequest) -> RunningProgram:
+        program = open_request.program
         self._programs.pop(program, None)
-        for _ in range(CLAIMS_TRIED):
+        for _ in range(MAX_CLAIM_ATTEMPTS):
             state = await self._shards.state(program)
             if isinstance(state, Failure):
                 raise FailureError(state)
@@ -131,22 +134,22 @@
                     ErrorKind.STOPPING, f"target {self._own_target} takes no new work"
                 )
             if state is not None:
-                self._check(state, opening.spec)
-                await self._take_from(state, opening)
-            elif not opening.create:
+                self._check_access(state, open_request.spec)
+                await self._request_handover(state, open_request)
+            elif not open_request.create:
                 raise fail(ErrorKind.NOT_FOUND, f"no program {program}")
-            elif opening.spec.parent is None:
+            elif open_request.spec.parent is None:
                 refusal = self._new_program_refusal()
                 if refusal is not None:
                     raise FailureError(refusal)
             running = await self._submit_claim(
-                program, opening.spec, state, opening.first_call
+                program, open_request.spec, state, open_request.first_call_tokens
             )
             if running is not None:
                 return running
-        raise fail(ErrorKind.MOVED, f"program {program} is being moved; ask again")
+        raise fail(ErrorKind.MOVED, f"program {program} is being moved; retry")
 
-    def _check(self, state: ProgramState, spec: ProgramSpec) -> None:
+    def _check_access(self, state: ProgramState, spec: ProgramSpec) -> None:
         if state.spec.workspace != spec.workspace:
             raise fail(ErrorKind.NOT_FOUND, f"no program {state.program}")
         if state.ended is not None:
@@ -155,22 +158,24 @@
                 f"program {state.program} ended: {state.ended}",
             )
 
-    async def _take_from(self, state: ProgramState, opening: OpenRequest) -> None:
-        """Ask the present home to release; where it is silent, go on.
+    async def _request_handover(
+        self, state: ProgramState, open_request: OpenRequest
+    ) -> None:
+        """Ask the current home to release a program; continue if it does not answer.
 
-        A home that is only slow or paused can do no harm: the claim that
-        follows makes its records count for nothing.
+        If the home is only slow or paused, the claim that follows makes its later
+        records invalid.
         """
         if state.released or state.home == self._own_target:
             return
         address = self._membership.address(state.home)
         if address is None or self._membership.silent(state.home):
             return
-        if opening.previous_home != state.home:
-            # The gateway did not know the present home. Moving the program
-            # here for that would let two gateways pull it to and fro.
-            raise fail(ErrorKind.MOVED, f"the program is at home at {state.home}")
-        if opening.previous_silent:
+        if open_request.previous_home != state.home:
+            # The gateway's view of the home is outdated. Taking the program over
+            # could make two gateways move it back and forth.
+            raise fail(ErrorKind.MOVED, f"the home of the program is {state.home}")
+        if open_request.previous_silent:
             return
         request = HandoverRequest(program=state.program)
         link = self._links.to(address)
@@ -188,19 +193,19 @@
         program: ProgramId,
         spec: ProgramSpec,
         state: ProgramState | None,
-        first_call: int,
+        first_call_tokens: int,
     ) -> RunningProgram | None:
         if state is not None:
-            # The present home may just have released it.
-            fresh = await self._shards.state(program)
-            if isinstance(fresh, ProgramState):
-                state = fresh
+            # The current home may have released the program meanwhile.
+            latest = await self._shards.state(program)
+            if isinstance(latest, ProgramState):
+                state = latest
         record = Claim(
             id=RecordId(new_id("claim")),
             program=program,
             replaces=state.epoch if state else Epoch(0),
             home=self._own_target,
-            block=first_call * FIRST_BLOCK_CALLS,
+            block=first_call_tokens * CALLS_PER_FIRST_BLOCK,
             spec=None if state else spec,
         )
         timeout = self._limits.submit_timeout
@@ -215,8 +220,8 @@
             return None
         cause = "takeover" if state else "new"
         self._metrics.claims.inc({"cause": cause})
-        before = f"after {state.home or 'a release'}" if state else "as a new program"
-        self._decisions.note(program, "home", self._own_target, f"claimed {before}")
+        origin = f"after {state.home or 'a release'}" if state else "as a new program"
+        self._decisions.note(program, "home", self._own_target, f"claimed {origin}")
         running = RunningProgram(
             state=reply.state, shards=self._shards, metrics=self._metrics
         )
@@ -224,11 +229,11 @@
         self._metrics.programs.set({}, len(self._programs))
         return running
 
-    async def take_pending(self, running: RunningProgram, turns: list[Turn]) -> None:
-        """Commit answers that an earlier home streamed but did not commit.
+    async def commit_pending(self, running: RunningProgram, turns: list[Turn]) -> None:
+        """Commit turns that an earlier home answered but did not commit.
 
-        The gateway's copy keeps the caller from being given two different
-        answers: it counts where it is complete and next in sequence.
+        The gateway's copy of a turn is used if it is next in sequence, so that the
+        caller does not get two different answers.
         """
         for turn in turns:
             if turn.seq != running.seq + 1 or turn.prefix != running.digest:
@@ -253,37 +258,45 @@
             )
             running.finish(call, commit)
             call.end(Done(answer=turn.answer))
-            reason = f"call {turn.seq} was kept from the gateway's copy"
+            reason = f"call {turn.seq} was committed from the gateway's copy"
             self._decisions.note(running.id, "history", "recovered", reason)
 
     async def recover(
         self, running: RunningProgram, turns: list[Turn]
     ) -> Failure | None:
-        """Commit turns of a lost home and wait until the log has them."""
-        await self.take_pending(running, turns)
-        if await running.flushed(self._limits.submit_timeout):
+        """Commit turns of a lost home and wait until they are in the log."""
+        await self.commit_pending(running, turns)
+        if await running.wait_flushed(self._limits.submit_timeout):
             return None
-        return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="not committed yet")
+        return Failure(
+            kind=ErrorKind.LOG_UNAVAILABLE, reason="pending turns are not committed yet"
+        )
 
     async def hand_over(self, program: ProgramId) -> Failure | None:
-        """Release a program to another home once its calls have ended."""
+        """Release a program for another home once its calls have ended."""
         running = self._programs.get(program)
         if running is None or running.lost is not None:
             return None
-        if not await running.flushed(HANDOVER_TIMEOUT):
+        if not await running.wait_flushed(HANDOVER_TIMEOUT):
             return Failure(
                 kind=ErrorKind.MOVED,
-                reason=f"program {program} has a call under way at {self._own_target}",
+                reason=f"program {program} has unfinished calls at {self._own_target}",
             )
         return await self._release(running)
 
     async def _release(self, running: RunningProgram) -> Failure | None:
         if running.busy:
-            return Failure(kind=ErrorKind.MOVED, reason="a call came in between")
+            return Failure(
+                kind=ErrorKind.MOVED, reason="a call arrived during the handover"
+            )
         record = Release(
             id=RecordId(new_id("release")), program=running.id, epoch=running.epoch
         )
-        running.lose(Failure(kind=ErrorKind.MOVED, reason="the program moves"))
+        running.mark_lost(
+            Failure(
+                kind=ErrorKind.MOVED, reason="the program is moving to another home"
+            )
+        )
         reply = await self._shards.submit(record, timeout=self._limits.submit_timeout)
         await self._remove(running, "moved")
         return reply if isinstance(reply, Failure) else None
@@ -297,7 +310,7 @@
     async def spawn(
         self, parent: RunningProgram, child: ProgramId, budget: int
     ) -> Failure | None:
-        """Move budget from a parent to a sub-agent."""
+        """Move budget from a parent to a new sub-agent."""
         record = Spawn(
             id=RecordId(new_id("spawn")),
             program=parent.id,
@@ -308,37 +321,37 @@
         reply = await self._shards.submit(record, timeout=self._limits.submit_timeout)
         if isinstance(reply, Failure):
             return reply
-        parent.take_state(reply.state)
+        parent.update_state(reply.state)
         refusal = reply.verdict.refusal
         if refusal in (Refusal.NONE, Refusal.KEY_USED):
-            moved = reply.state.moved.get(child) if reply.state else None
-            if moved == budget:
+            child_budget = reply.state.moved.get(child) if reply.state else None
+            if child_budget == budget:
                 return None
         if refusal is Refusal.NO_BUDGET:
             available = parent.state.available
             return Failure(
                 kind=ErrorKind.BUDGET_EXHAUSTED,
-                reason=f"the parent has {available} tokens to give, not {budget}",
+                reason=f"the parent has {available} tokens available, not {budget}",
                 field="budget",
             )
-        return superseded(parent.id)
+        return superseded_failure(parent.id)
 
     async def end(self, running: RunningProgram, reason: str) -> Failure | None:
-        """End a program and free what it holds."""
-        settled = await running.flushed(self._limits.submit_timeout)
+        """End a program and its sub-agents."""
+        flushed = await running.wait_flushed(self._limits.submit_timeout)
         record = End(
             id=RecordId(new_id("end")),
             program=running.id,
             epoch=running.epoch,
             reason=reason,
-            settled=settled,
+            settled=flushed,
         )
         reply = await self._shards.submit(record, timeout=self._limits.submit_timeout)
         if isinstance(reply, Failure):
             return reply
         if not reply.verdict.valid and reply.verdict.refusal is not Refusal.ENDED:
-            return superseded(running.id)
-        running.lose(
+            return superseded_failure(running.id)
+        running.mark_lost(
             Failure(kind=ErrorKind.PROGRAM_ENDED, reason=f"program ended: {reason}")
         )
         self._decisions.note(running.id, "home", "ended", reason)
@@ -346,38 +359,41 @@
         return None
 
     async def drain(self, draining: bool) -> None:
-        """Take no new programs and release those that are idle."""
+        """Refuse new programs and release the present ones once idle, or undo this."""
         self._draining = draining
         if not draining:
             return
         log.info("Draining: {} programs leave.", len(self._programs))
         await asyncio.gather(
-            *(self._drain_one(one) for one in list(self._programs.values()))
+            *(self._drain_one(running) for running in list(self._programs.values()))
         )
 
     async def _drain_one(self, running: RunningProgram) -> None:
-        if await running.flushed(self._limits.drain_timeout) and running.lost is None:
+        if (
+            await running.wait_flushed(self._limits.drain_timeout)
+            and running.lost is None
+        ):
             await self._release(running)
 
     async def run(self) -> None:
-        """End programs that were abandoned, and forget lost ones."""
+        """End programs that exceed their idle limit, and remove lost ones."""
         while True:
-            await asyncio.sleep(IDLE_CHECK)
+            await asyncio.sleep(IDLE_CHECK_INTERVAL)
             now = asyncio.get_running_loop().time()
             for running in list(self._programs.values()):
                 if running.lost is not None:
                     await self._remove(running, "superseded")
                     continue
-                limit = self.policy(running.state.spec).idle_limit
-                if not running.busy and now - running.last_used > limit:
-                    await self.end(running, f"idle for {limit:.0f} s")
+                idle_limit = self.policy(running.state.spec).idle_limit
+                if not running.busy and now - running.last_used > idle_limit:
+                    await self.end(running, f"idle for {idle_limit:.0f} s")
             self._metrics.uncommitted.set({}, self.uncommitted_bytes)
 
-    async def answered(
+    async def find_commit(
         self, running: RunningProgram, seq: Seq
     ) -> Commit | Failure | None:
-        """Return the commit of an earlier call from the log."""
+        """Return the commit of an earlier call from the log, or None."""
         commits = await self._shards.commits(running.id, Seq(seq - 1))
         if isinstance(commits, Failure):
             return commits
-        return next((one for one in commits if one.seq == seq), None)
+        return next((commit for commit in commits if commit.seq == seq), None)
--- a/sequoiaarch/home/model_calls.py
+++ b/sequoiaarch/home/model_calls.py
@@ -1,4 +1,4 @@
-"""Run model calls: history, budget and the answer."""
+"""Run model calls: check the history, reserve budget and collect the answer."""
 
 from __future__ import annotations
 
@@ -17,54 +17,59 @@
     encode_messages,
     engine_body,
     estimate_tokens,
+    max_prompt_tokens,
     parse_chat,
-    prompt_bound,
 )
-from .context import HomeContext, Work
+from .context import CallJob, HomeContext
 from .dispatcher import Dispatcher
 from .program import RunningProgram
 
 log = logbook.Logger("home")
 
 CHAT_PATH = "/v1/chat/completions"
-CUT_SLACK = 64
-LEAST_ANSWER = 1
-EXPECTED_ANSWER = 256
-BLOCK_CALLS = 2
+OVERRUN_MARGIN = 64  # tokens reserved for engines that exceed their limit
+MIN_ANSWER_TOKENS = 1
+EXPECTED_ANSWER_TOKENS = 256
+CALLS_PER_BLOCK = 2  # calls that a reserved block of the budget should cover
 
 
 class ModelCalls:
-    """Run model calls of programs that are at home here."""
+    """Runs model calls of programs whose home is this sidecar."""
 
     def __init__(self, *, context: HomeContext, dispatcher: Dispatcher) -> None:
         self._context = context
         self._dispatcher = dispatcher
 
-    async def run(self, work: Work) -> Commit:
-        """Run one call and return the commit that adds it to the history."""
-        running = work.running
-        chat = parse_chat(work.request.body)
+    async def run(self, job: CallJob) -> Commit:
+        """Run one call and return its commit."""
+        running = job.running
+        chat = parse_chat(job.request.body)
         extension = check_extension(running, chat)
-        target = work.request.target or self._context.own_target
-        prompt = prompt_bound(chat, self._bytes_per_token(target))
-        most = self._context.answer_limit(work.request)
-        answer = min(chat.max_tokens or most, most)
-        given = await running.reserve(
-            prompt + answer + CUT_SLACK,
-            prompt + LEAST_ANSWER + CUT_SLACK,
+        target = job.request.target or self._context.own_target
+        prompt_tokens = max_prompt_tokens(chat, self._bytes_per_token(target))
+        max_answer = self._context.answer_limit(job.request)
+        answer_tokens = min(chat.max_tokens or max_answer, max_answer)
+        reserved = await running.reserve(
+            prompt_tokens + answer_tokens + OVERRUN_MARGIN,
+            prompt_tokens + MIN_ANSWER_TOKENS + OVERRUN_MARGIN,
             self._context.limits.submit_timeout,
         )
         builder = AnswerBuilder()
         try:
-            limit = given - prompt - CUT_SLACK
-            execution = await self._dispatch(work, chat, builder, target, limit)
+            token_limit = reserved - prompt_tokens - OVERRUN_MARGIN
+            execution = await self._dispatch(job, chat, builder, target, token_limit)
             used = execution.prompt_tokens + execution.answer_tokens
-            if used > given:
-                log.error("Target {} used {} of {} tokens.", target, used, given)
-                used = given
-            commit = self._commit(work, extension, builder, used, given)
+            if used > reserved:
+                log.error(
+                    "Target {} used {} tokens, only {} were reserved.",
+                    target,
+                    used,
+                    reserved,
+                )
+                used = reserved
+            commit = self._commit(job, extension, builder, used, reserved)
         finally:
-            running.give_back(given)
+            running.release_reservation(reserved)
         running.attained += execution.seconds
         return commit
 
@@ -74,13 +79,13 @@
 
     async def _dispatch(
         self,
-        work: Work,
+        job: CallJob,
         chat: Chat,
         builder: AnswerBuilder,
         target: TargetName,
-        limit: int,
+        token_limit: int,
     ) -> Execution:
-        running = work.running
+        running = job.running
         policy = self._context.local_programs.policy(running.state.spec)
         dispatch = DispatchRequest(
             program=running.id,
@@ -91,24 +96,23 @@
             kind=CallKind.MODEL,
             method="POST",
             path=CHAT_PATH,
-            body=engine_body(chat, limit),
-            deadline=min(work.request.deadline, policy.deadline),
+            body=engine_body(chat, token_limit),
+            deadline=min(job.request.deadline, policy.deadline),
             name=running.state.spec.name,
-            trace=work.trace,
+            trace=job.trace,
             attained=running.attained,
             weight=policy.priority,
-            tokens=estimate_tokens(chat) + min(limit, EXPECTED_ANSWER),
+            tokens=estimate_tokens(chat) + min(token_limit, EXPECTED_ANSWER_TOKENS),
         )
 
         def emit(payload: bytes) -> None:
-            if builder.pieces < limit:
+            if builder.content_chunks < token_limit:
                 builder.add(payload)
-                work.call.emit(payload)
+                job.call.emit(payload)
                 return
-            # The engine gives more than it was asked for. The caller's
-            # budget must not pay for that.
+            # The engine exceeds its token limit: drop the rest of the answer.
             if b'"usage"' in payload:
-                builder.cut()
+                builder.mark_truncated()
 
         result = await self._dispatcher.run(dispatch, emit)
         if isinstance(result, Failure):
@@ -117,18 +121,18 @@
 
     def _commit(
         self,
-        work: Work,
+        job: CallJob,
         extension: list[ChatMessage],
         builder: AnswerBuilder,
         used: int,
-        given: int,
+        reserved: int,
     ) -> Commit:
-        running = work.running
-        call = work.call
+        running = job.running
+        call = job.call
         messages = [*extension, builder.message]
         answer = CallAnswer(status=200, body=builder.body())
         assert call.seq is not None
-        after = running.remaining + given - used
+        remaining = running.remaining + reserved - used
         return Commit(
             id=RecordId(new_id("commit")),
             program=running.id,
@@ -141,12 +145,12 @@
             answer=answer,
             request=call.fingerprint,
             used=used,
-            block=max(0, given * BLOCK_CALLS - after),
+            block=max(0, reserved * CALLS_PER_BLOCK - remaining),
         )
 
 
 def check_extension(running: RunningProgram, chat: Chat) -> list[ChatMessage]:
-    """Return the messages that go beyond the history, or fail."""
+    """Return the messages after the history; fail if the history differs."""
     known = running.message_count
     if len(chat.messages) <= known and known:
         raise fail(
--- a/sequoiaarch/home/program.py
+++ b/sequoiaarch/home/program.py
@@ -1,4 +1,4 @@
-"""Keep one program that is at home here: order, budget and commits."""
+"""Run one program at its home: order of calls, budget and commits."""
 
 from __future__ import annotations
 
@@ -17,16 +17,15 @@
 
 log = logbook.Logger("home")
 
-ANSWERS_KEPT = 2
-REORDER_WAIT = 2.0
-BLOCK_CALLS = 2
-# A second record is needed where the first one only told what stands in the log.
-RESERVE_TRIES = 2
+CALLS_IN_MEMORY = 2
+REORDER_TIMEOUT = 2.0  # seconds
+CALLS_PER_BLOCK = 2  # calls that a reserved block of the budget should cover
+MAX_RESERVE_ATTEMPTS = 2  # the first may only reveal the current state
 
 
 @dataclass(kw_only=True, eq=False)
-class _Place:
-    """Hold the place of a call that waits for its turn."""
+class _Waiter:
+    """Call that waits for its turn."""
 
     call: ActiveCall
     turn: asyncio.Future[None]
@@ -34,19 +33,22 @@
 
 @dataclass(kw_only=True, eq=False)
 class _Uncommitted:
-    """Hold a finished call until the log has taken it."""
+    """Finished call that is not committed to the log yet."""
 
     commit: Commit
     call: ActiveCall
     size: int
-    finished: float
+    finished_at: float
 
 
 class RunningProgram:
-    """Run the calls of a program one after the other.
+    """Runs the calls of a program one after the other.
 
-    `state` is what the log said last. What has finished since then is held
-    in `uncommitted`, so that a slow log holds no turn up.
+    `state` is the latest state read from the log. Calls that finished since then are
+    committed in the background, so that a slow log does not delay the next call.
+
+    `attained` is the engine time used, in seconds. `undispatched_keys` are the keys of
+    calls whose intent may be in the log although they were never dispatched.
     """
 
     def __init__(
@@ -57,19 +59,19 @@
         self._metrics = metrics
         self._seq = state.seq
         self._digest = state.digest
-        self._count = state.message_count
+        self._message_count = state.message_count
         self._calls: dict[Seq, ActiveCall] = {}
-        self._by_key: dict[CallKey, ActiveCall] = {}
-        self._last_model: ActiveCall | None = None
-        self._places: list[_Place] = []
-        self._running: ActiveCall | None = None
+        self._calls_by_key: dict[CallKey, ActiveCall] = {}
+        self._last_model_call: ActiveCall | None = None
+        self._waiters: list[_Waiter] = []
+        self._running_call: ActiveCall | None = None
         self._uncommitted: deque[_Uncommitted] = deque()
         self._committer: asyncio.Task[None] | None = None
-        self._in_flight = 0
-        self._reserving = asyncio.Lock()
+        self._reserved = 0
+        self._reserve_lock = asyncio.Lock()
         self._lost: Failure | None = None
         self.attained = 0.0
-        self.abandoned: set[CallKey] = set()
+        self.undispatched_keys: set[CallKey] = set()
         self.last_used = asyncio.get_running_loop().time()
 
     @property
@@ -79,12 +81,12 @@
 
     @property
     def epoch(self) -> Epoch:
-        """Return the epoch under which this process runs the program."""
+        """Return the epoch in which this process runs the program."""
         return self._state.epoch
 
     @property
     def state(self) -> ProgramState:
-        """Return what the log said last."""
+        """Return the latest state read from the log."""
         return self._state
 
     @property
@@ -94,147 +96,146 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest of the history with the last finished call."""
+        """Return the digest of the history up to the last finished call."""
         return self._digest
 
     @property
     def message_count(self) -> int:
-        """Return the messages of the history with the last finished call."""
-        return self._count
+        """Return the number of messages up to the last finished call."""
+        return self._message_count
 
     @property
     def lost(self) -> Failure | None:
-        """Return why the program is no longer at home here."""
+        """Return why this is no longer the program's home, or None if it is."""
         return self._lost
 
     @property
     def busy(self) -> bool:
-        """Return whether a call runs, waits, or is not yet in the log."""
-        return bool(self._running or self._places or self._uncommitted)
+        """Return whether a call is running, waiting or uncommitted."""
+        return bool(self._running_call or self._waiters or self._uncommitted)
 
     @property
     def uncommitted_bytes(self) -> int:
-        """Return the bytes of finished calls that the log has not taken."""
+        """Return the bytes of finished calls that are not committed."""
         return sum(entry.size for entry in self._uncommitted)
 
     @property
     def remaining(self) -> int:
-        """Return the tokens of the open block that nothing has used."""
+        """Return the tokens of the open block that are neither used nor reserved."""
         used = sum(entry.commit.used for entry in self._uncommitted)
-        return self._state.open_block - used - self._in_flight
+        return self._state.open_block - used - self._reserved
 
-    # Finding calls again.
+    # Lookup of calls.
 
-    def known_call(self, seq: Seq) -> ActiveCall | None:
-        """Return the call of a sequence number that is still in memory."""
+    def call_with_seq(self, seq: Seq) -> ActiveCall | None:
+        """Return the call with a sequence number if it is in memory."""
         return self._calls.get(seq)
 
     def call_with_key(self, key: CallKey) -> ActiveCall | None:
-        """Return the call that used an idempotency key here."""
-        return self._by_key.get(key)
+        """Return the call with an idempotency key if it is in memory."""
+        return self._calls_by_key.get(key)
 
     def intent(self, key: CallKey) -> IntentState | None:
-        """Return what the log says of an idempotency key."""
+        """Return the state of an idempotency key in the log."""
         return self._state.intents.get(key)
 
-    def repeat_of(self, fingerprint: str) -> ActiveCall | None:
-        """Return the latest model call where it had the same request."""
-        last = self._last_model
+    def find_repeat(self, fingerprint: str) -> ActiveCall | None:
+        """Return the latest model call if its request had the same fingerprint."""
+        last = self._last_model_call
         return last if last and last.fingerprint == fingerprint else None
 
     def register(self, call: ActiveCall) -> None:
-        """Remember a call that was admitted."""
+        """Add an admitted call to those in memory."""
         self.last_used = asyncio.get_running_loop().time()
         if call.seq is not None:
             self._calls[call.seq] = call
         if call.key is not None:
-            self._by_key[call.key] = call
+            self._calls_by_key[call.key] = call
 
-    def note_model_call(self, call: ActiveCall) -> None:
-        """Remember the latest model call."""
-        self._last_model = call
+    def set_last_model_call(self, call: ActiveCall) -> None:
+        """Set the latest model call."""
+        self._last_model_call = call
 
-    # Order.
+    # Order of calls.
 
-    async def take_turn(self, call: ActiveCall) -> None:
-        """Wait until all earlier calls have ended."""
+    async def wait_turn(self, call: ActiveCall) -> None:
+        """Wait until all earlier calls have ended; fail if one is missing."""
         loop = asyncio.get_running_loop()
-        place = _Place(call=call, turn=loop.create_future())
-        self._places.append(place)
-        self._call_up()
-        while not place.turn.done():
-            gap = self._running is None
-            done, _ = await asyncio.wait([place.turn], timeout=REORDER_WAIT)
-            if not done and gap and self._running is None:
-                # Nothing runs and still it is not this call's turn: the one
-                # before it never came.
-                self._places.remove(place)
+        waiter = _Waiter(call=call, turn=loop.create_future())
+        self._waiters.append(waiter)
+        self._start_next()
+        while not waiter.turn.done():
+            gap = self._running_call is None
+            done, _ = await asyncio.wait([waiter.turn], timeout=REORDER_TIMEOUT)
+            if not done and gap and self._running_call is None:
+                # Nothing is running, so an earlier call was never received.
+                self._waiters.remove(waiter)
                 raise fail(
                     ErrorKind.OUT_OF_SEQUENCE,
-                    f"call {call.seq} came before call {self._seq + 1}",
+                    f"call {call.seq} arrived before call {self._seq + 1}",
                     field="X-Call-Seq",
                     expected_seq=self._seq + 1,
                 )
         if self._lost is not None:
-            self._running = None
+            self._running_call = None
             raise FailureError(self._lost)
         if call.seq is None:
             call.seq = Seq(self._seq + 1)
         self._calls[call.seq] = call
 
-    def _call_up(self) -> None:
-        if self._running is not None:
+    def _start_next(self) -> None:
+        if self._running_call is not None:
             return
-        for place in self._places:
-            if place.call.seq in (None, self._seq + 1) or self._lost is not None:
-                self._places.remove(place)
-                self._running = place.call
-                place.turn.set_result(None)
+        for waiter in self._waiters:
+            if waiter.call.seq in (None, self._seq + 1) or self._lost is not None:
+                self._waiters.remove(waiter)
+                self._running_call = waiter.call
+                waiter.turn.set_result(None)
                 return
 
     def end_turn(self, call: ActiveCall) -> None:
-        """Let the next call run."""
+        """End the turn of a call and start the next one."""
         if call.seq is None or call.seq > self._seq:
-            self._drop(call)
-        if self._running is call:
-            self._running = None
-        self._call_up()
+            self._unregister(call)
+        if self._running_call is call:
+            self._running_call = None
+        self._start_next()
 
-    def _drop(self, call: ActiveCall) -> None:
-        """Forget a call that did not happen, so that it can be asked again."""
+    def _unregister(self, call: ActiveCall) -> None:
+        """Remove a call that was not run, so that its request can be repeated."""
         if call.seq is not None and self._calls.get(call.seq) is call:
             del self._calls[call.seq]
-        if call.key is not None and self._by_key.get(call.key) is call:
-            del self._by_key[call.key]
-        if self._last_model is call:
-            self._last_model = None
+        if call.key is not None and self._calls_by_key.get(call.key) is call:
+            del self._calls_by_key[call.key]
+        if self._last_model_call is call:
+            self._last_model_call = None
 
     # Budget.
 
-    async def reserve(self, wanted: int, least: int, timeout: float) -> int:
-        """Set tokens aside for a call and return how many.
+    async def reserve(self, wanted: int, minimum: int, timeout: float) -> int:
+        """Reserve tokens for a call and return how many.
 
-        Less than wanted but at least the least is given where the budget
-        ends; the reservation is in the log before any token is used.
+        Fewer than `wanted` but at least `minimum` are reserved if the budget is nearly
+        spent. The block they belong to is in the log before any token is used.
         """
-        async with self._reserving:
-            for _ in range(RESERVE_TRIES):
+        async with self._reserve_lock:
+            for _ in range(MAX_RESERVE_ATTEMPTS):
                 if self.remaining < wanted:
-                    await self._open_block(wanted, timeout)
-            given = min(wanted, self.remaining)
-            if given < least:
+                    await self._reserve_block(wanted, timeout)
+            reserved = min(wanted, self.remaining)
+            if reserved < minimum:
                 budget = self._state.spec.budget
                 raise fail(
                     ErrorKind.BUDGET_EXHAUSTED,
                     f"the call may need {wanted} tokens, but of the budget of "
-                    f"{budget} only {max(0, given)} are left",
+                    f"{budget} only {max(0, reserved)} are left",
                 )
-            self._in_flight += given
-            return given
+            self._reserved += reserved
+            return reserved
 
-    async def _open_block(self, wanted: int, timeout: float) -> None:
+    async def _reserve_block(self, wanted: int, timeout: float) -> None:
         need = wanted - self.remaining
-        block = min(need * BLOCK_CALLS, self._state.available)
+        block = min(need * CALLS_PER_BLOCK, self._state.available)
         if block <= 0:
             return
         record = Reserve(
@@ -248,65 +249,65 @@
         if isinstance(reply, Failure):
             raise FailureError(reply.before_dispatch())
         if reply.state is None or reply.state.epoch != self.epoch:
-            self.lose(superseded(self.id))
-            raise FailureError(superseded(self.id))
-        # Also where this record is refused: an earlier one that was given up on
-        # may stand in the log under the same number, and its block counts.
-        self.take_state(reply.state)
+            self.mark_lost(superseded_failure(self.id))
+            raise FailureError(superseded_failure(self.id))
+        # Needed even if the record is refused: an earlier one with the same number
+        # that timed out may be in the log, with its block reserved.
+        self.update_state(reply.state)
 
-    def give_back(self, given: int) -> None:
-        """End a reservation; what was used stands in the commit."""
-        self._in_flight -= given
+    def release_reservation(self, reserved: int) -> None:
+        """Release a reservation; the tokens used are counted by the commit."""
+        self._reserved -= reserved
 
     # Commits.
 
     def finish(self, call: ActiveCall, commit: Commit) -> None:
-        """Add a finished call to the history and to what the log must take."""
+        """Add a finished call to the history and commit it in the background."""
         assert call.seq == commit.seq == self._seq + 1
         self._seq = commit.seq
         self._digest = commit.digest
-        self._count += commit.message_count
+        self._message_count += commit.message_count
         size = len(commit.messages) + len(commit.answer.body if commit.answer else b"")
         entry = _Uncommitted(
             commit=commit,
             call=call,
             size=size,
-            finished=asyncio.get_running_loop().time(),
+            finished_at=asyncio.get_running_loop().time(),
         )
         self._uncommitted.append(entry)
-        self._forget_old_answers()
+        self._evict_old_calls()
         if self._committer is None or self._committer.done():
-            self._committer = asyncio.create_task(self._commit_all())
+            self._committer = asyncio.create_task(self._commit_loop())
 
-    def _forget_old_answers(self) -> None:
-        """Drop answers whose receipt a later call has acknowledged."""
-        for seq in [seq for seq in self._calls if seq <= self._seq - ANSWERS_KEPT]:
-            if self._calls[seq].kept:
+    def _evict_old_calls(self) -> None:
+        """Remove committed calls whose answers later calls have acknowledged."""
+        for seq in [seq for seq in self._calls if seq <= self._seq - CALLS_IN_MEMORY]:
+            if self._calls[seq].committed:
                 call = self._calls.pop(seq)
                 if call.key is not None:
-                    self._by_key.pop(call.key, None)
+                    self._calls_by_key.pop(call.key, None)
 
-    async def _commit_all(self) -> None:
+    async def _commit_loop(self) -> None:
         loop = asyncio.get_running_loop()
         while self._uncommitted and self._lost is None:
             entry = self._uncommitted[0]
             reply = await self._shards.submit(entry.commit, timeout=None)
             if isinstance(reply, Failure):
-                log.warning("Commit of {} waits: {}.", self.id, reply.reason)
-                await asyncio.sleep(REORDER_WAIT)
+                log.warning("Commit of {} is retried: {}.", self.id, reply.reason)
+                await asyncio.sleep(REORDER_TIMEOUT)
                 continue
             if not reply.verdict.valid:
                 reason = reply.verdict.refusal.value
                 log.warning("Commit of {} was refused: {}.", self.id, reason)
-                self.lose(superseded(self.id))
+                self.mark_lost(superseded_failure(self.id))
                 return
             self._uncommitted.popleft()
-            self.take_state(reply.state)
-            self._metrics.commit.observe({}, loop.time() - entry.finished)
-            entry.call.settle(None)
+            self.update_state(reply.state)
+            self._metrics.commit.observe({}, loop.time() - entry.finished_at)
+            entry.call.resolve_commit(None)
 
-    async def flushed(self, timeout: float) -> bool:
-        """Wait until no call runs and the log has taken all that finished."""
+    async def wait_flushed(self, timeout: float) -> bool:
+        """Wait until no call is running and all finished ones are committed."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         while self.busy and self._lost is None:
@@ -315,25 +316,25 @@
             await asyncio.sleep(0.01)
         return True
 
-    def take_state(self, state: ProgramState | None) -> None:
-        """Take in what the log says, where it is of the same epoch."""
+    def update_state(self, state: ProgramState | None) -> None:
+        """Update the state from the log, unless it is of another epoch."""
         if state is not None and state.epoch == self._state.epoch:
             self._state = state
 
-    def lose(self, failure: Failure) -> None:
-        """Stop to be the home; whatever waits or is uncommitted fails."""
+    def mark_lost(self, failure: Failure) -> None:
+        """Stop being the home; waiting and uncommitted calls fail."""
         if self._lost is not None:
             return
         self._lost = failure
         for entry in self._uncommitted:
-            entry.call.settle(failure)
+            entry.call.resolve_commit(failure)
         self._uncommitted.clear()
-        self._call_up()
+        self._start_next()
 
 
-def superseded(program: ProgramId) -> Failure:
-    """Return the failure of a program that another home has taken over."""
+def superseded_failure(program: ProgramId) -> Failure:
+    """Return the failure for a program that another home has taken over."""
     return Failure(
         kind=ErrorKind.SUPERSEDED,
-        reason=f"another home took program {program} over; ask again",
+        reason=f"another home has taken over program {program}; retry",
     )
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -1,4 +1,4 @@
-"""Run the calls of the programs that are at home here."""
+"""Run the calls of the programs whose home is this sidecar."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     Turn,
 )
 from .calls import ActiveCall
-from .context import HomeContext, Work
+from .context import CallJob, HomeContext
 from .dispatcher import Dispatcher
-from .finder import CallFinder, fingerprint_of
+from .finder import CallFinder, request_fingerprint
 from .local_programs import OpenRequest
 from .model_calls import ModelCalls
 from .program import RunningProgram
@@ -32,13 +32,13 @@
 
 log = logbook.Logger("home")
 
-COMMIT_WAIT_ONCE = 1.0
+NON_IDEMPOTENT_COMMIT_WAIT = 1.0  # seconds
 
 Send = Callable[[Reply], Awaitable[None]]
 
 
 class CallRunner:
-    """Admit calls to their programs, run them and commit them."""
+    """Admits calls to their programs, runs them and relays their answers."""
 
     def __init__(self, *, context: HomeContext) -> None:
         dispatcher = Dispatcher(context=context)
@@ -50,13 +50,13 @@
 
     @property
     def running_calls(self) -> int:
-        """Return the calls that are under way."""
+        """Return the number of calls that are running."""
         return len(self._tasks)
 
     async def handle(self, request: CallRequest, send: Send) -> Reply:
-        """Run a call, or join one that runs already, and relay its answer."""
+        """Run a call, or join an earlier one of the same request, and relay it."""
         try:
-            running = await self._open(request)
+            running = await self._open_program(request)
             call = await self._finder.find(running, request)
             if call is None:
                 call = self._start(running, request)
@@ -68,7 +68,7 @@
         self, request: CallRequest, failure: Failure, send: Send
     ) -> Reply:
         try:
-            call = await self._finder.call_of_ended(request, failure)
+            call = await self._finder.find_after_end(request, failure)
         except FailureError as error:
             failure = error.failure
             call = None
@@ -77,27 +77,27 @@
         self._context.metrics.refusals.inc({"kind": failure.kind.value})
         return Failed(failure=failure, load=self._context.load())
 
-    async def _open(self, request: CallRequest) -> RunningProgram:
+    async def _open_program(self, request: CallRequest) -> RunningProgram:
         if (
             self._context.local_programs.uncommitted_bytes
             > self._context.limits.uncommitted_bytes
         ):
             raise fail(
                 ErrorKind.LOG_UNAVAILABLE,
-                "turns that the log has not taken fill the buffer",
+                "the buffer of uncommitted turns is full",
             )
-        opening = OpenRequest(
+        open_request = OpenRequest(
             program=request.program,
             spec=request.spec,
-            first_call=len(request.body) + self._context.answer_limit(request),
+            first_call_tokens=len(request.body) + self._context.answer_limit(request),
             create=True,
             previous_home=request.previous_home,
             previous_silent=request.previous_silent,
         )
-        running = await self._context.local_programs.open(opening)
+        running = await self._context.local_programs.open(open_request)
         if running.state.spec.workspace != request.spec.workspace:
             raise fail(ErrorKind.NOT_FOUND, f"no program {request.program}")
-        await self._context.local_programs.take_pending(running, request.pending)
+        await self._context.local_programs.commit_pending(running, request.pending)
         return running
 
     def _start(self, running: RunningProgram, request: CallRequest) -> ActiveCall:
@@ -105,18 +105,18 @@
         if document is not None and running.seq >= document.spec.max_calls:
             raise fail(
                 ErrorKind.PROGRAM_LIMIT,
-                f"the program made {running.seq} calls, the most that "
-                f"Program {document.name} allows",
+                f"the program has made {running.seq} calls, the limit of "
+                f"Program {document.name}",
             )
         call = ActiveCall(
             kind=request.kind,
-            fingerprint=fingerprint_of(request),
+            fingerprint=request_fingerprint(request),
             seq=request.seq,
             key=request.key,
         )
         running.register(call)
         if request.kind is CallKind.MODEL:
-            running.note_model_call(call)
+            running.set_last_model_call(call)
         task = asyncio.create_task(self._run(running, call, request))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -129,25 +129,25 @@
             "home", request.trace, program=running.id, home=self._context.own_target
         )
         trace = self._context.tracing.traceparent(span)
-        work = Work(running=running, call=call, request=request, trace=trace)
+        job = CallJob(running=running, call=call, request=request, trace=trace)
         result = "answered"
         try:
-            await running.take_turn(call)
+            await running.wait_turn(call)
             span.set_attribute("seq", call.seq or 0)
             if request.kind is CallKind.MODEL:
-                await self._run_model(work)
+                await self._run_model(job)
             else:
-                await self._run_service(work)
+                await self._run_service(job)
         except FailureError as error:
             result = error.failure.kind.value
             call.end(error.failure)
-            call.settle(error.failure)
+            call.resolve_commit(error.failure)
         except Exception as error:
             log.exception("Call of {} failed.", running.id)
             result = ErrorKind.INTERNAL.value
             failure = Failure(kind=ErrorKind.INTERNAL, reason=repr(error))
             call.end(failure)
-            call.settle(failure)
+            call.resolve_commit(failure)
         finally:
             span.set_attribute("result", result)
             span.end()
@@ -156,37 +156,39 @@
                 {"kind": request.kind.value, "result": result}
             )
         if request.single:
-            await self._end_single(running, call)
+            await self._end_single_call_program(running, call)
 
-    async def _end_single(self, running: RunningProgram, call: ActiveCall) -> None:
-        await call.settled()
+    async def _end_single_call_program(
+        self, running: RunningProgram, call: ActiveCall
+    ) -> None:
+        await call.wait_committed()
         if running.lost is None and not running.busy:
             await self._context.local_programs.end(running, "its only call ended")
 
-    async def _run_model(self, work: Work) -> None:
-        commit = await self._model_calls.run(work)
-        work.running.finish(work.call, commit)
-        await self._answer(work, commit)
-
-    async def _run_service(self, work: Work) -> None:
-        result = await self._service_calls.run(work)
-        commit = self._service_calls.commit(work, result)
-        work.running.finish(work.call, commit)
-        if work.request.non_idempotent:
-            # A repeat after this process's death must find the answer.
-            await _wait_settled(work.call, COMMIT_WAIT_ONCE)
+    async def _run_model(self, job: CallJob) -> None:
+        commit = await self._model_calls.run(job)
+        job.running.finish(job.call, commit)
+        await self._finish_call(job, commit)
+
+    async def _run_service(self, job: CallJob) -> None:
+        result = await self._service_calls.run(job)
+        commit = self._service_calls.commit(job, result)
+        job.running.finish(job.call, commit)
+        if job.request.non_idempotent:
+            # A repeated request must find the answer if this process fails.
+            await _wait_committed(job.call, NON_IDEMPOTENT_COMMIT_WAIT)
         if isinstance(result, Failure):
-            work.call.end(result)
+            job.call.end(result)
             return
-        await self._answer(work, commit)
+        await self._finish_call(job, commit)
 
-    async def _answer(self, work: Work, commit: Commit) -> None:
-        call = work.call
-        wait = self._context.local_programs.policy(work.running.state.spec).commit_wait
+    async def _finish_call(self, job: CallJob, commit: Commit) -> None:
+        call = job.call
+        wait = self._context.local_programs.policy(job.running.state.spec).commit_wait
         if wait > 0:
-            await _wait_settled(call, wait)
+            await _wait_committed(call, wait)
         turn = None
-        if not call.kept and commit.answer is not None:
+        if not call.committed and commit.answer is not None:
             turn = Turn(
                 seq=commit.seq,
                 prefix=commit.prefix,
@@ -198,13 +200,18 @@
                 used=commit.used,
             )
         call.end(
-            Done(answer=commit.answer, committed=call.kept, turn=turn, used=commit.used)
+            Done(
+                answer=commit.answer,
+                committed=call.committed,
+                turn=turn,
+                used=commit.used,
+            )
         )
 
     async def _relay(
         self, request: CallRequest, epoch: Epoch, call: ActiveCall, send: Send
     ) -> Reply:
-        events = call.follow()
+        events = call.subscribe()
         seq = call.seq or Seq(0)
         await send(Head(program=request.program, seq=seq, epoch=epoch))
         while True:
@@ -219,21 +226,21 @@
             Done(
                 answer=event.answer,
                 seq=call.seq or Seq(0),
-                committed=call.kept,
+                committed=call.committed,
                 turn=event.turn,
                 used=event.used,
                 load=self._context.load(),
             )
         )
-        failure = await call.settled()
+        failure = await call.wait_committed()
         if failure is not None:
             return Failed(failure=failure)
         return Committed(seq=call.seq or Seq(0))
 
 
-async def _wait_settled(call: ActiveCall, timeout: float) -> None:
+async def _wait_committed(call: ActiveCall, timeout: float) -> None:
     try:
         async with asyncio.timeout(timeout):
-            await call.settled()
+            await call.wait_committed()
     except TimeoutError:
-        log.info("An answer goes out before the log has taken it.")
+        log.info("An answer is sent before its commit is in the log.")
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -1,4 +1,4 @@
-"""Run service calls, those that may not be repeated among them."""
+"""Run idempotent and non-idempotent service calls."""
 
 from __future__ import annotations
 
@@ -17,45 +17,45 @@
 from ..sidecar.executor import Execution
 from ..wire.messages import CallKind, CallRequest, DispatchRequest
 from .answers import error_answer
-from .context import HomeContext, Work
+from .context import CallJob, HomeContext
 from .dispatcher import Dispatcher
-from .finder import UNKNOWN_REASON, fingerprint_of
-from .program import RunningProgram, superseded
+from .finder import UNKNOWN_OUTCOME_REASON, request_fingerprint
+from .program import RunningProgram, superseded_failure
 
-SERVICE_TRIES = 2
+MAX_SERVICE_ATTEMPTS = 2
 
 
 class ServiceCalls:
-    """Run service calls of programs that are at home here."""
+    """Runs service calls of programs whose home is this sidecar."""
 
     def __init__(self, *, context: HomeContext, dispatcher: Dispatcher) -> None:
         self._context = context
         self._dispatcher = dispatcher
 
-    async def run(self, work: Work) -> Execution | Failure:
-        """Run one call; a failure that is returned takes its place in order."""
-        policy = self._context.local_programs.policy(work.running.state.spec)
-        if work.request.non_idempotent:
-            return await self._run_once(work, policy)
-        return await self._run_repeatable(work, policy)
+    async def run(self, job: CallJob) -> Execution | Failure:
+        """Run one call; a returned failure is committed as its result."""
+        policy = self._context.local_programs.policy(job.running.state.spec)
+        if job.request.non_idempotent:
+            return await self._run_non_idempotent(job, policy)
+        return await self._run_idempotent(job, policy)
 
-    async def _run_repeatable(
-        self, work: Work, policy: PolicySpecification
+    async def _run_idempotent(
+        self, job: CallJob, policy: PolicySpecification
     ) -> Execution | Failure:
         tried: list[TargetName] = []
         failure = Failure(
             kind=ErrorKind.NO_TARGET,
-            reason=f"no target runs {work.request.service!r} now",
+            reason=f"no target is available for service {job.request.service!r}",
         )
-        while len(tried) < SERVICE_TRIES:
-            target = self._target(work.request, tried)
+        while len(tried) < MAX_SERVICE_ATTEMPTS:
+            target = self._select_target(job.request, tried)
             if target is None:
                 break
             tried.append(target)
-            dispatch = self._dispatch_of(
-                work, policy, target, AttemptId(new_id("attempt"))
+            dispatch = self._dispatch_request(
+                job, policy, target, AttemptId(new_id("attempt"))
             )
-            result = await self._dispatcher.run(dispatch, _ignore)
+            result = await self._dispatcher.run(dispatch, _discard_event)
             if isinstance(result, Execution):
                 return result
             failure = result
@@ -65,50 +65,53 @@
             raise FailureError(failure)
         return failure
 
-    async def _run_once(
-        self, work: Work, policy: PolicySpecification
+    async def _run_non_idempotent(
+        self, job: CallJob, policy: PolicySpecification
     ) -> Execution | Failure:
-        """Announce a call in the log, then dispatch it a single time.
+        """Write an intent to the log, then dispatch the call at most once.
 
-        Where its executor says that it was not run, another may be announced.
+        If the executor reports that the call was not run, the intent is withdrawn and
+        another target is tried.
         """
         tried: list[TargetName] = []
         while True:
-            target = self._target(work.request, tried)
+            target = self._select_target(job.request, tried)
             if target is None:
-                reason = f"no target runs {work.request.service!r} now"
+                reason = f"no target is available for service {job.request.service!r}"
                 raise fail(ErrorKind.NO_TARGET, reason)
             tried.append(target)
-            intent = await self._announce(work.running, work.request, target)
+            intent = await self._log_intent(job.running, job.request, target)
             if isinstance(intent, Failure):
                 return intent
-            dispatch = self._dispatch_of(work, policy, intent.executor, intent.attempt)
-            result = await self._dispatcher.run(dispatch, _ignore)
+            dispatch = self._dispatch_request(
+                job, policy, intent.executor, intent.attempt
+            )
+            result = await self._dispatcher.run(dispatch, _discard_event)
             if isinstance(result, Execution):
                 return result
             if result.run_state is not NotRun.YES:
-                # The bytes may have left, so nobody can tell or may retry.
+                # The request may have been sent, so it is not safe to retry.
                 return Failure(
                     kind=ErrorKind.OUTCOME_UNKNOWN,
-                    reason=f"{UNKNOWN_REASON} ({result.reason})",
+                    reason=f"{UNKNOWN_OUTCOME_REASON} ({result.reason})",
                 )
-            await self._withdraw(work.running, work.request, intent)
-            if len(tried) >= SERVICE_TRIES:
+            await self._withdraw(job.running, job.request, intent)
+            if len(tried) >= MAX_SERVICE_ATTEMPTS:
                 raise FailureError(result)
 
-    async def _announce(
+    async def _log_intent(
         self, running: RunningProgram, request: CallRequest, target: TargetName
     ) -> IntentState | Failure:
-        """Return the intent to act on, or that the outcome is unknown."""
+        """Return the intent to dispatch, or a failure if the outcome is unknown."""
         assert request.key is not None
-        unknown = Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason=UNKNOWN_REASON)
+        unknown = Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason=UNKNOWN_OUTCOME_REASON)
         known = running.intent(request.key)
         if known is not None and known.outcome is not Outcome.NOT_RUN:
-            mine = known.epoch == running.epoch and known.outcome is Outcome.OPEN
-            if mine and request.key in running.abandoned:
-                # This process announced it and then answered "not run"; it
-                # alone may dispatch it, and it never did.
-                running.abandoned.discard(request.key)
+            own_intent = known.epoch == running.epoch and known.outcome is Outcome.OPEN
+            if own_intent and request.key in running.undispatched_keys:
+                # This process failed to append the intent earlier and did not dispatch
+                # the call; no other process may.
+                running.undispatched_keys.discard(request.key)
                 return known
             return unknown
         record = Intent(
@@ -116,25 +119,25 @@
             program=running.id,
             epoch=running.epoch,
             key=request.key,
-            request=fingerprint_of(request),
+            request=request_fingerprint(request),
             executor=target,
             attempt=AttemptId(new_id("attempt")),
         )
         reply = await self._context.shards.submit(
-            record, timeout=self._patience(request)
+            record, timeout=self._intent_timeout(request)
         )
         if isinstance(reply, Failure):
-            # Whatever becomes of the record, nothing was dispatched.
-            running.abandoned.add(request.key)
+            # The record may still be appended, but nothing was dispatched.
+            running.undispatched_keys.add(request.key)
             raise FailureError(reply.before_dispatch())
         if reply.verdict.refusal is Refusal.KEY_USED:
-            running.take_state(reply.state)
+            running.update_state(reply.state)
             return unknown
         if not reply.verdict.valid:
-            failure = superseded(running.id)
-            running.lose(failure)
+            failure = superseded_failure(running.id)
+            running.mark_lost(failure)
             raise FailureError(failure.before_dispatch())
-        running.take_state(reply.state)
+        running.update_state(reply.state)
         return IntentState(
             epoch=record.epoch,
             request=record.request,
@@ -142,8 +145,8 @@
             attempt=record.attempt,
         )
 
-    def _patience(self, request: CallRequest) -> float:
-        """Return the seconds that an intent may wait for the log."""
+    def _intent_timeout(self, request: CallRequest) -> float:
+        """Return the timeout for appending an intent, in seconds."""
         policy = self._context.local_programs.policy(request.spec)
         if policy.log_away is WhenLogIsAway.WAIT:
             return min(request.deadline, policy.service_timeout)
@@ -164,32 +167,34 @@
             record, timeout=self._context.limits.submit_timeout
         )
         if not isinstance(reply, Failure):
-            running.take_state(reply.state)
+            running.update_state(reply.state)
 
-    def _target(
+    def _select_target(
         self, request: CallRequest, tried: list[TargetName]
     ) -> TargetName | None:
-        names = [
+        candidates = [
             TargetName(document.name)
             for document in self._context.catalogue.targets
             if document.spec.type is TargetType.SERVICE
             and document.spec.service == request.service
             and self._context.membership.takes_work(document)
         ]
-        if request.target in names and request.target not in tried:
+        if request.target in candidates and request.target not in tried:
             return request.target
-        left = [name for name in names if name not in tried]
-        return min(left, key=self._context.membership.sent_since) if left else None
+        untried = [name for name in candidates if name not in tried]
+        return (
+            min(untried, key=self._context.membership.sent_since) if untried else None
+        )
 
-    def _dispatch_of(
+    def _dispatch_request(
         self,
-        work: Work,
+        job: CallJob,
         policy: PolicySpecification,
         target: TargetName,
         attempt: AttemptId,
     ) -> DispatchRequest:
-        running = work.running
-        request = work.request
+        running = job.running
+        request = job.request
         return DispatchRequest(
             program=running.id,
             workspace=running.state.spec.workspace,
@@ -202,15 +207,15 @@
             body=request.body,
             deadline=min(request.deadline, policy.service_timeout),
             key=request.key,
-            trace=work.trace,
+            trace=job.trace,
             weight=policy.priority,
         )
 
-    def commit(self, work: Work, result: Execution | Failure) -> Commit:
-        """Return the commit that keeps the outcome of a call."""
-        running = work.running
-        call = work.call
-        request = work.request
+    def commit(self, job: CallJob, result: Execution | Failure) -> Commit:
+        """Return the commit with the result of a call."""
+        running = job.running
+        call = job.call
+        request = job.request
         assert call.seq is not None
         if isinstance(result, Execution):
             answer = CallAnswer(
@@ -221,7 +226,7 @@
         else:
             answer = error_answer(result)
         intent = running.intent(request.key) if request.key is not None else None
-        once = intent is not None and intent.outcome is Outcome.OPEN
+        intent_open = intent is not None and intent.outcome is Outcome.OPEN
         outcome = Outcome.DONE if isinstance(result, Execution) else Outcome.UNKNOWN
         return Commit(
             id=RecordId(new_id("commit")),
@@ -232,10 +237,10 @@
             digest=running.digest,
             answer=answer,
             request=call.fingerprint,
-            key=request.key if once else None,
-            outcome=outcome if once else None,
+            key=request.key if intent_open else None,
+            outcome=outcome if intent_open else None,
         )
 
 
-def _ignore(payload: bytes) -> None:
-    """Drop a piece; services answer whole."""
+def _discard_event(payload: bytes) -> None:
+    """Ignore a payload; services do not stream."""
