--- a/sequoiaarch/home/chat.py
+++ b/sequoiaarch/home/chat.py
@@ -45,7 +45,8 @@
 class Chat(msgspec.Struct, kw_only=True):
     """Chat request: its raw fields and those that are parsed.
 
-    `size` is the length of the raw messages in bytes."""
+    `size` is the length of the raw messages in bytes.
+    """
 
     raw: dict[str, msgspec.Raw]
     messages: list[ChatMessage]
--- a/sequoiaarch/home/context.py
+++ b/sequoiaarch/home/context.py
@@ -48,7 +48,8 @@
 class CallJob:
     """One call to run, with its program and request.
 
-    `trace` is the W3C traceparent of the span that covers the call."""
+    `trace` is the W3C traceparent of the span that covers the call.
+    """
 
     running: RunningProgram
     call: ActiveCall
--- a/sequoiaarch/home/local_programs.py
+++ b/sequoiaarch/home/local_programs.py
@@ -37,7 +37,7 @@
 
 HANDOVER_TIMEOUT = 5.0  # seconds
 IDLE_CHECK_INTERVAL = 5.0  # seconds
-CALLS_PER_FIRST_BLOCK = 2
+CALLS_PER_FIRST_BLOCK = 2  # calls that the block of a claim should cover
 MAX_CLAIM_ATTEMPTS = 3
 
 
--- a/sequoiaarch/records/types.py
+++ b/sequoiaarch/records/types.py
@@ -122,7 +122,8 @@
     """Release a program from its home, so that another can claim it.
 
     `used` is what was used of the open block and not committed; the rest is returned
-    to the budget."""
+    to the budget.
+    """
 
     epoch: Epoch
     used: int = 0
--- a/sequoiaarch/shards/client.py
+++ b/sequoiaarch/shards/client.py
@@ -117,7 +117,8 @@
     ) -> VerdictReply | Failure:
         """Append a record through a keeper and return the verdict on it.
 
-        If `timeout`, in seconds, is None, wait as long as the log is unavailable."""
+        If `timeout`, in seconds, is None, wait as long as the log is unavailable.
+        """
         shard = self.shard_of(record.program)
         peers = self._peers()
         request = SubmitRequest(shard=shard, record=record)
