--- a/sequoiaarch/sidecar/memory.py
+++ b/sequoiaarch/sidecar/memory.py
@@ -20,7 +20,7 @@
     Removal,
     make_retention,
 )
-from ..shards.client import Shards
+from ..shards.client import ShardClient
 
 log = logbook.Logger("memory")
 
@@ -42,7 +42,7 @@
         engine: ModelEngine,
         capacity: Callable[[], int],
         policy: Callable[[], PolicySpecification],
-        shards: Shards,
+        shards: ShardClient,
         metrics: Metrics,
         decisions: Decisions,
     ) -> None:
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -10,8 +10,8 @@
 from ..daemon.base import Core, curve_keys
 from ..engines.http import HttpEngine, HttpService
 from ..errors import ErrorKind, Failure, FailureError, NotRun
-from ..home.homes import Homes, Opening
-from ..home.parts import HomeParts
+from ..home.context import HomeContext
+from ..home.local_programs import LocalPrograms, OpenRequest
 from ..home.runner import CallRunner
 from ..ids import ProgramId, TargetName
 from ..policies.admission import Occupancy
@@ -70,8 +70,8 @@
         self._queue: TargetQueue | None = None
         self._runner: CallRunner | None = None
         self._dispatched = 0
-        self._homes = Homes(
-            me=target,
+        self._homes = LocalPrograms(
+            own_target=target,
             catalogue=core.catalogue,
             membership=core.membership,
             links=core.links,
@@ -79,18 +79,18 @@
             limits=core.settings.limits,
             metrics=core.metrics,
             decisions=core.decisions,
-            refuse_new=self._refuse_new,
+            new_program_refusal=self._refuse_new,
         )
         self._keeper = ShardKeeper(
             local=core.local,
             shards=core.shards,
-            mine=self._kept_shards,
+            own_shards=self._kept_shards,
             renew_config=core.follower.renew_if_due,
             limits=core.settings.limits,
         )
 
     @property
-    def homes(self) -> Homes:
+    def homes(self) -> LocalPrograms:
         """Return the programs at home here."""
         return self._homes
 
@@ -221,9 +221,9 @@
             metrics=core.metrics,
             tracing=core.tracing,
         )
-        parts = HomeParts(
-            me=self._target,
-            homes=self._homes,
+        context = HomeContext(
+            own_target=self._target,
+            local_programs=self._homes,
             executor=self._executor,
             catalogue=core.catalogue,
             membership=core.membership,
@@ -234,7 +234,7 @@
             tracing=core.tracing,
             load=self.load,
         )
-        self._runner = CallRunner(parts=parts)
+        self._runner = CallRunner(context=context)
 
     async def _watch_host(self) -> None:
         """Drain when the host list shows the own host as leaving."""
@@ -248,7 +248,7 @@
 
     async def _free_left(self) -> None:
         while True:
-            program, cause = await self._homes.left.get()
+            program, cause = await self._homes.departures.get()
             if self._memory is not None:
                 await self._memory.forget(program, cause)
 
@@ -335,7 +335,9 @@
 
     async def _carry_out(self, request: ProgramOrder) -> Failure | None:
         if isinstance(request, CreateRequest):
-            opening = Opening(program=request.program, spec=request.spec, create=True)
+            opening = OpenRequest(
+                program=request.program, spec=request.spec, create=True
+            )
             await self._homes.open(opening)
             return None
         if isinstance(request, SpawnRequest):
@@ -362,7 +364,7 @@
             log.warning("Stopping after {} s with work under way.", timeout)
 
     def _busy(self) -> bool:
-        running = self._runner.running if self._runner else 0
+        running = self._runner.running_calls if self._runner else 0
         programs = any(one.busy for one in self._homes.programs.values())
         return bool(running or self._dispatched or programs)
 
@@ -374,9 +376,9 @@
             client.close()
 
 
-def _taking_over(program: ProgramId, request: ProgramOrder) -> Opening:
+def _taking_over(program: ProgramId, request: ProgramOrder) -> OpenRequest:
     """Return how to open a program whose home the asker may have found silent."""
-    return Opening(
+    return OpenRequest(
         program=program,
         spec=request.spec,
         previous_home=request.silent_home,
