--- a/sequoiaarch/gateway/gateway.py
+++ b/sequoiaarch/gateway/gateway.py
@@ -57,9 +57,9 @@
         return self._started and not self._app.leaving
 
     @property
-    def held_copies(self) -> int:
+    def pending_programs(self) -> int:
         """Return the programs of which uncommitted turns are held here."""
-        return self._router.held_copies
+        return self._router.pending_programs
 
     async def start(self) -> None:
         """Answer probes at once, and callers when the configuration is known."""
--- a/sequoiaarch/gateway/router.py
+++ b/sequoiaarch/gateway/router.py
@@ -99,7 +99,7 @@
         return self._open + len(self._recovering)
 
     @property
-    def held_copies(self) -> int:
+    def pending_programs(self) -> int:
         """Return the programs of which uncommitted turns are held here."""
         return self._copies.programs
 
--- a/sequoiaarch/tests/faults/recovery_tests.py
+++ b/sequoiaarch/tests/faults/recovery_tests.py
@@ -37,7 +37,7 @@
         )
         router = system.nodes["gateway-1"].gateway
         assert router is not None
-        wait_until(lambda: router.held_copies == 0, "the copy is dropped")
+        wait_until(lambda: router.pending_programs == 0, "the copy is dropped")
 
     def test_unnumbered_repeat_after_the_home_is_lost(self) -> None:
         """Answer a repeat without a number from the log, as its home would have.
