--- a/sequoiaarch/home/dispatcher.py
+++ b/sequoiaarch/home/dispatcher.py
@@ -5,7 +5,7 @@
 from ..engines.interfaces import Emit
 from ..errors import ErrorKind, Failure
 from ..ids import TargetName
-from ..sidecar.executor import Execution
+from ..sidecar.executor import AttemptResult
 from ..wire.messages import Chunk, DispatchRequest, Executed, Failed
 from .parts import HomeParts
 
@@ -16,7 +16,9 @@
     def __init__(self, *, parts: HomeParts) -> None:
         self._parts = parts
 
-    async def run(self, dispatch: DispatchRequest, emit: Emit) -> Execution | Failure:
+    async def run(
+        self, dispatch: DispatchRequest, emit: Emit
+    ) -> AttemptResult | Failure:
         """Have an attempt run, here or at the sidecar of its target."""
         if dispatch.target == self._parts.me:
             return await self._parts.executor.run(dispatch, emit)
@@ -31,7 +33,7 @@
                 emit(reply.data)
             elif isinstance(reply, Executed):
                 self._parts.membership.note_load(reply.load)
-                return Execution(
+                return AttemptResult(
                     status=reply.status,
                     body=reply.body,
                     content_type=reply.content_type,
--- a/sequoiaarch/home/model_calls.py
+++ b/sequoiaarch/home/model_calls.py
@@ -7,7 +7,7 @@
 from ..errors import ErrorKind, Failure, FailureError, fail
 from ..ids import AttemptId, RecordId, TargetName, new_id
 from ..records.types import CallAnswer, Commit
-from ..sidecar.executor import Execution
+from ..sidecar.executor import AttemptResult
 from ..wire.messages import CallKind, DispatchRequest
 from .chat import (
     AnswerBuilder,
@@ -79,7 +79,7 @@
         builder: AnswerBuilder,
         target: TargetName,
         limit: int,
-    ) -> Execution:
+    ) -> AttemptResult:
         running = work.running
         policy = self._parts.homes.policy(running.state.spec)
         dispatch = DispatchRequest(
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -14,7 +14,7 @@
     Outcome,
     Withdraw,
 )
-from ..sidecar.executor import Execution
+from ..sidecar.executor import AttemptResult
 from ..wire.messages import CallKind, CallRequest, DispatchRequest
 from .answers import error_answer
 from .dispatcher import Dispatcher
@@ -32,7 +32,7 @@
         self._parts = parts
         self._dispatcher = dispatcher
 
-    async def run(self, work: Work) -> Execution | Failure:
+    async def run(self, work: Work) -> AttemptResult | Failure:
         """Run one call; a failure that is returned takes its place in order."""
         policy = self._parts.homes.policy(work.running.state.spec)
         if work.request.non_idempotent:
@@ -41,7 +41,7 @@
 
     async def _run_repeatable(
         self, work: Work, policy: PolicySpecification
-    ) -> Execution | Failure:
+    ) -> AttemptResult | Failure:
         tried: list[TargetName] = []
         failure = Failure(
             kind=ErrorKind.NO_TARGET,
@@ -56,7 +56,7 @@
                 work, policy, target, AttemptId(new_id("attempt"))
             )
             result = await self._dispatcher.run(dispatch, _ignore)
-            if isinstance(result, Execution):
+            if isinstance(result, AttemptResult):
                 return result
             failure = result
             if failure.kind is ErrorKind.DEADLINE_EXCEEDED:
@@ -67,7 +67,7 @@
 
     async def _run_once(
         self, work: Work, policy: PolicySpecification
-    ) -> Execution | Failure:
+    ) -> AttemptResult | Failure:
         """Announce a call in the log, then dispatch it a single time.
 
         Where its executor says that it was not run, another may be announced.
@@ -84,7 +84,7 @@
                 return intent
             dispatch = self._dispatch_of(work, policy, intent.executor, intent.attempt)
             result = await self._dispatcher.run(dispatch, _ignore)
-            if isinstance(result, Execution):
+            if isinstance(result, AttemptResult):
                 return result
             if result.run_state is not NotRun.YES:
                 # The bytes may have left, so nobody can tell or may retry.
@@ -204,13 +204,13 @@
             weight=policy.priority,
         )
 
-    def commit(self, work: Work, result: Execution | Failure) -> Commit:
+    def commit(self, work: Work, result: AttemptResult | Failure) -> Commit:
         """Return the commit that keeps the outcome of a call."""
         running = work.running
         call = work.call
         request = work.request
         assert call.seq is not None
-        if isinstance(result, Execution):
+        if isinstance(result, AttemptResult):
             answer = CallAnswer(
                 status=result.status,
                 body=result.body,
@@ -220,7 +220,7 @@
             answer = error_answer(result)
         intent = running.intent(request.key) if request.key is not None else None
         once = intent is not None and intent.outcome is Outcome.OPEN
-        outcome = Outcome.DONE if isinstance(result, Execution) else Outcome.UNKNOWN
+        outcome = Outcome.DONE if isinstance(result, AttemptResult) else Outcome.UNKNOWN
         return Commit(
             id=RecordId(new_id("commit")),
             program=running.id,
--- a/sequoiaarch/sidecar/executor.py
+++ b/sequoiaarch/sidecar/executor.py
@@ -33,7 +33,7 @@
 LEARNING = 0.1
 
 
-class Execution(msgspec.Struct, frozen=True, kw_only=True):
+class AttemptResult(msgspec.Struct, frozen=True, kw_only=True):
     """Hold what an attempt brought; `seconds` is the time at the target."""
 
     status: int = 200
@@ -77,7 +77,9 @@
         mean = self._call_seconds or seconds
         self._call_seconds = mean + LEARNING * (seconds - mean)
 
-    async def run(self, dispatch: DispatchRequest, emit: Emit) -> Execution | Failure:
+    async def run(
+        self, dispatch: DispatchRequest, emit: Emit
+    ) -> AttemptResult | Failure:
         """Run one attempt; the failure says truly whether it ran."""
         span = self._tracing.start(
             "target",
@@ -130,7 +132,7 @@
 
     async def _admit(
         self, dispatch: DispatchRequest, emit: Emit, trace: str
-    ) -> Execution | Failure:
+    ) -> AttemptResult | Failure:
         loop = asyncio.get_running_loop()
         arrived = loop.time()
         memory = self._memory
@@ -166,7 +168,7 @@
 
     async def _run_model(
         self, dispatch: DispatchRequest, emit: Emit, trace: str, begun: float
-    ) -> Execution | Failure:
+    ) -> AttemptResult | Failure:
         engine = self._engine
         memory = self._memory
         if engine is None or memory is None:
@@ -194,7 +196,7 @@
         missed = answer.prompt_tokens - answer.cached_tokens
         self._metrics.cached_tokens.add({"cached": "yes"}, answer.cached_tokens)
         self._metrics.cached_tokens.add({"cached": "no"}, missed)
-        return Execution(
+        return AttemptResult(
             prompt_tokens=answer.prompt_tokens,
             answer_tokens=answer.answer_tokens,
             cached_tokens=answer.cached_tokens,
@@ -203,7 +205,7 @@
 
     async def _run_service(
         self, dispatch: DispatchRequest, trace: str, begun: float
-    ) -> Execution | Failure:
+    ) -> AttemptResult | Failure:
         if self._service is None:
             raise fail(ErrorKind.NO_TARGET, "no service stands behind this target")
         request = ServiceRequest(
@@ -218,7 +220,7 @@
         answer = await self._service.call(request)
         if not isinstance(answer, ServiceAnswer):
             return answer
-        return Execution(
+        return AttemptResult(
             status=answer.status,
             body=answer.body,
             content_type=answer.content_type,
