--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -114,7 +114,7 @@
     settings: Settings,
     *,
     name: str,
-    me: TargetName | None,
+    own_target: TargetName | None,
     context: zmq.asyncio.Context,
     platform: PlatformServices,
 ) -> Core:
@@ -159,7 +159,7 @@
         local=local,
         links=links,
         peers=membership.peers,
-        me=me,
+        me=own_target,
     )
     return Core(
         settings=settings,
--- a/sequoiaarch/daemon/run.py
+++ b/sequoiaarch/daemon/run.py
@@ -56,7 +56,7 @@
     core = make_core(
         settings,
         name=f"gateway {settings.host}",
-        me=None,
+        own_target=None,
         context=context,
         platform=connect_platform(settings),
     )
@@ -81,7 +81,7 @@
     core = make_core(
         settings,
         name=f"sidecar {target}",
-        me=target,
+        own_target=target,
         context=context,
         platform=connect_platform(settings),
     )
--- a/sequoiaarch/daemon/standalone.py
+++ b/sequoiaarch/daemon/standalone.py
@@ -61,11 +61,11 @@
         """Return the settings with the keys of the trial."""
         return self._settings
 
-    def _core(self, name: str, me: TargetName | None) -> Core:
+    def _core(self, name: str, own_target: TargetName | None) -> Core:
         core = make_core(
             self._settings,
             name=name,
-            me=me,
+            own_target=own_target,
             context=self._context,
             platform=self._platform,
         )
--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -267,7 +267,7 @@
         core = make_core(
             settings,
             name=name,
-            me=TargetName(name) if settings.target else None,
+            own_target=TargetName(name) if settings.target else None,
             context=zmq.asyncio.Context(),
             platform=PlatformServices(log=log, hosts=hosts, clients=clients),
         )
