--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -70,7 +70,7 @@
         self._queue: TargetQueue | None = None
         self._runner: CallRunner | None = None
         self._dispatched = 0
-        self._homes = Homes(
+        self._local_programs = Homes(
             me=target,
             catalogue=core.catalogue,
             membership=core.membership,
@@ -90,9 +90,9 @@
         )
 
     @property
-    def homes(self) -> Homes:
+    def local_programs(self) -> Homes:
         """Return the programs at home here."""
-        return self._homes
+        return self._local_programs
 
     @property
     def memory(self) -> EngineMemory | None:
@@ -102,7 +102,7 @@
     @property
     def ready(self) -> bool:
         """Return whether calls can be answered."""
-        return self._runner is not None and not self._homes.draining
+        return self._runner is not None and not self._local_programs.draining
 
     def _document(self) -> TargetDocument | None:
         return self._core.catalogue.target(self._target)
@@ -154,9 +154,9 @@
             queued_tokens=queue.queued_tokens if queue else 0,
             slots=self._slots(),
             cache_free=memory.free if memory else 0,
-            programs=len(self._homes.programs),
+            programs=len(self._local_programs.programs),
             call_seconds=self._executor.call_seconds if self._executor else 0.0,
-            draining=self._homes.draining,
+            draining=self._local_programs.draining,
         )
 
     def bind(self) -> str:
@@ -181,7 +181,7 @@
             document = self._document()
         self._build(document)
         self._core.tasks.append(asyncio.create_task(self._keeper.run()))
-        self._core.tasks.append(asyncio.create_task(self._homes.run()))
+        self._core.tasks.append(asyncio.create_task(self._local_programs.run()))
         self._core.tasks.append(asyncio.create_task(self._free_left()))
         self._core.tasks.append(asyncio.create_task(self._watch_host()))
         log.info("Target {} takes work.", self._target)
@@ -223,7 +223,7 @@
         )
         parts = HomeParts(
             me=self._target,
-            homes=self._homes,
+            homes=self._local_programs,
             executor=self._executor,
             catalogue=core.catalogue,
             membership=core.membership,
@@ -243,12 +243,12 @@
             leaving = self._core.membership.leaving(self._target)
             if leaving != left:
                 left = leaving
-                await self._homes.drain(leaving)
+                await self._local_programs.drain(leaving)
             await asyncio.sleep(HOST_CHECK)
 
     async def _free_left(self) -> None:
         while True:
-            program, cause = await self._homes.left.get()
+            program, cause = await self._local_programs.left.get()
             if self._memory is not None:
                 await self._memory.forget(program, cause)
 
@@ -271,10 +271,12 @@
             case TraceRequest():
                 return TraceReply(spans=self._core.tracing.spans(request.trace_id))
             case DrainRequest():
-                asyncio.get_running_loop().create_task(self._homes.drain(request.drain))
+                asyncio.get_running_loop().create_task(
+                    self._local_programs.drain(request.drain)
+                )
                 return Accepted(load=self.load())
             case HandoverRequest():
-                return _accepted(await self._homes.hand_over(request.program))
+                return _accepted(await self._local_programs.hand_over(request.program))
         return await self._handle_work(request, send)
 
     async def _handle_work(self, request: Request, send: Send) -> Reply:
@@ -294,7 +296,7 @@
         """Run an attempt for a home elsewhere."""
         executor = self._executor
         assert executor is not None
-        if self._homes.draining:
+        if self._local_programs.draining:
             failure = Failure(
                 kind=ErrorKind.STOPPING,
                 reason=f"target {self._target} takes no new work",
@@ -336,26 +338,28 @@
     async def _carry_out(self, request: ProgramOrder) -> Failure | None:
         if isinstance(request, CreateRequest):
             opening = Opening(program=request.program, spec=request.spec, create=True)
-            await self._homes.open(opening)
+            await self._local_programs.open(opening)
             return None
         if isinstance(request, SpawnRequest):
             opening = _taking_over(request.parent, request)
-            parent = await self._homes.open(opening)
-            return await self._homes.spawn(parent, request.child, request.budget)
+            parent = await self._local_programs.open(opening)
+            return await self._local_programs.spawn(
+                parent, request.child, request.budget
+            )
         if isinstance(request, RecoverRequest):
             opening = _taking_over(request.program, request)
-            running = await self._homes.open(opening)
-            return await self._homes.recover(running, request.pending)
+            running = await self._local_programs.open(opening)
+            return await self._local_programs.recover(running, request.pending)
         opening = _taking_over(request.program, request)
-        running = await self._homes.open(opening)
-        return await self._homes.end(running, request.reason)
+        running = await self._local_programs.open(opening)
+        return await self._local_programs.end(running, request.reason)
 
     async def stop(self) -> None:
         """Leave in an orderly way: finish what runs and release programs."""
         timeout = self._core.settings.limits.drain_timeout
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        await self._homes.drain(True)
+        await self._local_programs.drain(True)
         while loop.time() < deadline and self._busy():
             await asyncio.sleep(STOP_CHECK)
         if self._busy():
@@ -363,7 +367,7 @@
 
     def _busy(self) -> bool:
         running = self._runner.running if self._runner else 0
-        programs = any(one.busy for one in self._homes.programs.values())
+        programs = any(one.busy for one in self._local_programs.programs.values())
         return bool(running or self._dispatched or programs)
 
     def close(self) -> None:
--- a/sequoiaarch/tests/faults/differential_tests.py
+++ b/sequoiaarch/tests/faults/differential_tests.py
@@ -201,6 +201,6 @@
             else:
                 node = self.system.nodes[home]
                 assert node.sidecar is not None
-                node.thread.wait(node.sidecar.homes.drain(True))
-                node.thread.wait(node.sidecar.homes.drain(False))
+                node.thread.wait(node.sidecar.local_programs.drain(True))
+                node.thread.wait(node.sidecar.local_programs.drain(False))
         return gateway
--- a/sequoiaarch/tests/faults/scenario.py
+++ b/sequoiaarch/tests/faults/scenario.py
@@ -364,7 +364,7 @@
         name = self.some_engine()
         sidecar = self.system.nodes[name].sidecar
         assert sidecar is not None
-        self.system.nodes[name].thread.wait(sidecar.homes.drain(True))
+        self.system.nodes[name].thread.wait(sidecar.local_programs.drain(True))
         self.note_left(name)
 
     def do_host_leaves(self, asking: Any) -> None:
