--- a/sequoiaarch/gateway/__init__.py
+++ b/sequoiaarch/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Answer callers and operators, and relay to the homes of programs."""
+"""HTTP gateway: serves callers and operators and routes calls to sidecars."""
--- a/sequoiaarch/gateway/bridge.py
+++ b/sequoiaarch/gateway/bridge.py
@@ -1,4 +1,4 @@
-"""Let the threads that answer HTTP use the event loop."""
+"""Bridge between the HTTP worker threads and the event loop."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 log = logbook.Logger("gateway")
 
-T = TypeVar("T")
-GRACE = 30.0
+ResultT = TypeVar("ResultT")
+ANSWER_GRACE_SECONDS = 30.0  # on top of the deadline of the call
 
-Event = Chunk | Done | Failure
-Events = queue.SimpleQueue[Event]
+CallEvent = Chunk | Done | Failure
+EventQueue = queue.SimpleQueue[CallEvent]
 
 
-class Bridge:
-    """Run coroutines of the event loop from other threads.
+class LoopBridge:
+    """Runs coroutines on the event loop for HTTP worker threads.
 
-    Closing it ends every wait: what would have answered is gone by then, and
-    a thread that waits on holds up the stop of the whole process.
+    Closing the bridge fails all pending calls, so that no worker thread blocks the
+    shutdown of the process by waiting for a response that can't come any more.
     """
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop, router: Router) -> None:
@@ -36,71 +36,76 @@
         self._router = router
         self._lock = threading.Lock()
         self._closed = False
-        self._waiting: set[Events] = set()
+        self._event_queues: set[EventQueue] = set()
         self._futures: set[Future[Any]] = set()
 
     def close(self) -> None:
-        """End all waits; calls that come later are refused."""
+        """Fail all pending calls and refuse new ones."""
         with self._lock:
             self._closed = True
-            waiting = list(self._waiting)
+            event_queues = list(self._event_queues)
             futures = list(self._futures)
-        for events in waiting:
-            events.put(_stopped(NotRun.UNKNOWN))
+        for event_queue in event_queues:
+            event_queue.put(_stopping_failure(NotRun.UNKNOWN))
         for future in futures:
             future.cancel()
 
-    def wait(self, work: Coroutine[Any, Any, T], timeout: float = 60.0) -> T:
-        """Run a coroutine in the loop and return its result."""
+    def run_coroutine(
+        self, coroutine: Coroutine[Any, Any, ResultT], timeout: float = 60.0
+    ) -> ResultT:
+        """Run a coroutine on the event loop and return its result."""
         with self._lock:
             if self._closed:
-                work.close()
-                raise FailureError(_stopped(NotRun.YES))
-            future = asyncio.run_coroutine_threadsafe(work, self._loop)
+                coroutine.close()
+                raise FailureError(_stopping_failure(NotRun.YES))
+            future = asyncio.run_coroutine_threadsafe(coroutine, self._loop)
             self._futures.add(future)
         try:
             return future.result(timeout)
         except TimeoutError:
             future.cancel()
             failure = Failure(
-                kind=ErrorKind.DEADLINE_EXCEEDED, reason=f"not done in {timeout} s"
+                kind=ErrorKind.DEADLINE_EXCEEDED,
+                reason=f"not completed within {timeout} s",
             )
             raise FailureError(failure) from None
         except CancelledError:
-            raise FailureError(_stopped(NotRun.UNKNOWN)) from None
+            raise FailureError(_stopping_failure(NotRun.UNKNOWN)) from None
         finally:
             with self._lock:
                 self._futures.discard(future)
 
-    def events(self, call: CallRequest, *, known: bool) -> Iterator[Event]:
-        """Run a call and yield its events; the last is Done or a Failure."""
-        events: Events = queue.SimpleQueue()
+    def stream_call(self, call: CallRequest, *, may_exist: bool) -> Iterator[CallEvent]:
+        """Run a call and yield its events; the last one is Done or a Failure."""
+        events: EventQueue = queue.SimpleQueue()
         with self._lock:
             if self._closed:
-                yield _stopped(NotRun.YES)
+                yield _stopping_failure(NotRun.YES)
                 return
-            self._waiting.add(events)
-            work = self._run(call, events, known)
-            asyncio.run_coroutine_threadsafe(work, self._loop)
+            self._event_queues.add(events)
+            coroutine = self._run(call, events, may_exist)
+            asyncio.run_coroutine_threadsafe(coroutine, self._loop)
         try:
-            yield from _until_last(events, call.deadline + GRACE)
+            yield from _events_until_final(events, call.deadline + ANSWER_GRACE_SECONDS)
         finally:
             with self._lock:
-                self._waiting.discard(events)
+                self._event_queues.discard(events)
 
-    async def _run(self, call: CallRequest, events: Events, known: bool) -> None:
-        """Run a call; whatever ends it, its caller is told."""
+    async def _run(
+        self, call: CallRequest, events: EventQueue, may_exist: bool
+    ) -> None:
+        """Run a call and make sure that its queue gets a final event."""
         try:
-            await self._router.run(call, events.put, known=known)
+            await self._router.run(call, events.put, may_exist=may_exist)
         except asyncio.CancelledError:
-            events.put(_stopped(NotRun.UNKNOWN))
+            events.put(_stopping_failure(NotRun.UNKNOWN))
             raise
         except Exception as error:
-            log.exception("A call of {} failed.", call.program)
+            log.exception("Unhandled error in a call of program {}.", call.program)
             events.put(Failure(kind=ErrorKind.INTERNAL, reason=repr(error)))
 
 
-def _until_last(events: Events, timeout: float) -> Iterator[Event]:
+def _events_until_final(events: EventQueue, timeout: float) -> Iterator[CallEvent]:
     while True:
         try:
             event = events.get(timeout=timeout)
@@ -112,6 +117,6 @@
             return
 
 
-def _stopped(not_run: NotRun) -> Failure:
+def _stopping_failure(not_run: NotRun) -> Failure:
     kind = ErrorKind.STOPPING if not_run is NotRun.YES else ErrorKind.OUTCOME_UNKNOWN
-    return Failure(kind=kind, reason="this host stops", not_run=not_run)
+    return Failure(kind=kind, reason="the gateway is stopping", not_run=not_run)
--- a/sequoiaarch/gateway/gateway.py
+++ b/sequoiaarch/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Put the parts of a gateway together."""
+"""Assembles a gateway from its router, HTTP application and web server."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 from ..daemon.base import Core
 from ..webserver import WebServer
-from .app import CallerApp
-from .bridge import Bridge
+from .app import GatewayApp
+from .bridge import LoopBridge
 from .operators import OperatorApi
 from .router import Router
 
 log = logbook.Logger("gateway")
 
-STOP_CHECK = 0.02
-QUIET_LIMIT = 5.0
+STOP_POLL_INTERVAL = 0.02  # seconds
+QUIET_TIMEOUT = 5.0  # seconds
 
 
 class Gateway:
-    """Answer HTTP on an entry host."""
+    """Serves the HTTP API on an entry host."""
 
     def __init__(self, *, core: Core, rng: random.Random) -> None:
         self._core = core
         self._router = Router(core=core, rng=rng)
         self._started = False
-        self._bridge = Bridge(loop=asyncio.get_running_loop(), router=self._router)
+        self._bridge = LoopBridge(loop=asyncio.get_running_loop(), router=self._router)
         operators = OperatorApi(
             core=core,
             router=self._router,
             bridge=self._bridge,
             ready=lambda: self.ready,
         )
-        self._app = CallerApp(
+        self._app = GatewayApp(
             core=core, router=self._router, bridge=self._bridge, operators=operators
         )
         http = core.settings.http
@@ -48,60 +48,63 @@
 
     @property
     def port(self) -> int:
-        """Return the port that callers reach."""
+        """Return the HTTP port."""
         return self._server.port
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer should send callers here."""
-        return self._started and not self._app.leaving
+        """Return whether the load balancer should send requests here."""
+        return self._started and not self._app.lame_duck
 
     @property
     def pending_programs(self) -> int:
-        """Return the programs of which uncommitted turns are held here."""
+        """Return the number of programs whose uncommitted turns are buffered here."""
         return self._router.pending_programs
 
     async def start(self) -> None:
-        """Answer probes at once, and callers when the configuration is known."""
+        """Start the web server and wait for the configuration.
+
+        Probes are answered meanwhile; the gateway is ready afterwards.
+        """
         self._server.start()
         await self._core.follower.ready()
         self._started = True
-        log.info("Gateway answers on port {}.", self.port)
+        log.info("Gateway is listening on port {}.", self.port)
 
     async def stop(self) -> None:
-        """Leave in an orderly way.
+        """Drain the gateway before it is closed.
 
-        First the readiness probe fails while calls are still taken, so that
-        the balancer looks elsewhere; then new calls are refused and those
-        under way come to their ends. The port closes after a quiet while: a
-        connection that the kernel has accepted and nobody has read would be
-        reset, and its caller could not tell whether its call was run.
+        At first only the readiness probe fails, so that the load balancer sends
+        requests elsewhere. Then new requests are refused and open ones finish. The
+        port stays open until no request has arrived for a while: closing it would
+        reset connections that wait in the accept queue, and their callers could not
+        tell whether the call was run.
         """
         limits = self._core.settings.limits
-        self._app.leaving = True
+        self._app.lame_duck = True
         await asyncio.sleep(limits.lame_duck)
-        self._app.refusing = True
+        self._app.refusing_requests = True
         loop = asyncio.get_running_loop()
-        begun = loop.time()
-        while loop.time() < begun + limits.drain_timeout and self._busy():
-            await asyncio.sleep(STOP_CHECK)
-        while loop.time() < begun + QUIET_LIMIT and not self._quiet():
-            await asyncio.sleep(STOP_CHECK)
-        if self._busy():
-            log.warning("Stopping with {} calls open.", self._app.open_requests)
+        started = loop.time()
+        while loop.time() < started + limits.drain_timeout and self._has_open_calls():
+            await asyncio.sleep(STOP_POLL_INTERVAL)
+        while loop.time() < started + QUIET_TIMEOUT and not self._is_quiet():
+            await asyncio.sleep(STOP_POLL_INTERVAL)
+        if self._has_open_calls():
+            log.warning("Stopping with {} open requests.", self._app.open_requests)
             self._server.abort()
 
-    def _busy(self) -> bool:
+    def _has_open_calls(self) -> bool:
         return bool(self._app.open_requests or self._router.open_calls)
 
-    def _quiet(self) -> bool:
-        return self._app.quiet_for >= self._core.settings.limits.lame_duck
+    def _is_quiet(self) -> bool:
+        return self._app.seconds_since_request >= self._core.settings.limits.lame_duck
 
     def abort(self) -> None:
-        """Break all connections off."""
+        """Abort all connections."""
         self._server.abort()
 
     def close(self) -> None:
-        """End the waits of all callers and close the server."""
+        """Fail all pending calls and stop the web server."""
         self._bridge.close()
         self._server.stop()
--- a/sequoiaarch/gateway/operators.py
+++ b/sequoiaarch/gateway/operators.py
@@ -1,4 +1,4 @@
-"""Answer operators and the platform's probes over HTTP."""
+"""HTTP API of operators, metrics and health probes."""
 
 from __future__ import annotations
 
@@ -31,17 +31,23 @@
     TraceReply,
     TraceRequest,
 )
-from .bridge import Bridge
-from .requests import DrainBody, KeyTable, PublishBody, decode_body, read_body
+from .bridge import LoopBridge
+from .requests import (
+    DrainBody,
+    PublishBody,
+    RequestAuthenticator,
+    decode_body,
+    read_body,
+)
 from .responses import json_response
 from .router import Router
 
-PEER_TIMEOUT = 2.0
-MAX_BODY = 4 * 1024 * 1024
+PEER_TIMEOUT = 2.0  # seconds
+MAX_BODY = 4 * 1024 * 1024  # bytes
 
 
 class TargetView(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one target to operators."""
+    """One target as shown to operators."""
 
     name: str
     type: str
@@ -55,13 +61,13 @@
 
 
 class TargetList(msgspec.Struct, frozen=True, kw_only=True):
-    """Show all targets."""
+    """All targets in the configuration."""
 
     targets: list[TargetView]
 
 
 class StatusView(msgspec.Struct, frozen=True, kw_only=True):
-    """Show how a gateway sees the system."""
+    """The state of the system as seen by one gateway."""
 
     host: str
     data_centre: str
@@ -73,41 +79,41 @@
 
 
 class DocumentList(msgspec.Struct, frozen=True, kw_only=True):
-    """Show the documents in force with their versions."""
+    """The current configuration documents with their versions."""
 
     version: int
     documents: dict[str, Versioned]
 
 
 class PublicationList(msgspec.Struct, frozen=True, kw_only=True):
-    """Show the latest publications and what became of them."""
+    """The latest configuration publications with their verdicts."""
 
     publications: list[PublishVerdict]
 
 
 class Explanation(msgspec.Struct, frozen=True, kw_only=True):
-    """Show the decisions for one program."""
+    """The scheduling decisions for one program, in order of time."""
 
     program: str
     decisions: list[Decision]
 
 
 class TraceView(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one trace as spans and as the lines of a tree."""
+    """One trace, as spans and rendered as the lines of a tree."""
 
     spans: list[SpanData]
     tree: list[str]
 
 
 class OperatorApi:
-    """Answer status, targets, drain, configuration, explain and traces."""
+    """Serves the HTTP API of operators."""
 
     def __init__(
         self,
         *,
         core: Core,
         router: Router,
-        bridge: Bridge,
+        bridge: LoopBridge,
         ready: Callable[[], bool],
     ) -> None:
         self._core = core
@@ -115,36 +121,36 @@
         self._bridge = bridge
         self._ready = ready
 
-    def rules(self, keys: KeyTable) -> list[Rule]:
-        """Return the routes, all but the probes behind operators' keys."""
+    def rules(self, authenticator: RequestAuthenticator) -> list[Rule]:
+        """Return the routes; all but metrics and probes need an operator key."""
         routes: list[tuple[str, str, Callable[..., Response]]] = [
-            ("GET", "/v1/admin/status", self._status),
-            ("GET", "/v1/admin/targets", self._targets),
+            ("GET", "/v1/admin/status", self._show_status),
+            ("GET", "/v1/admin/targets", self._list_targets),
             ("POST", "/v1/admin/drain", self._drain),
-            ("GET", "/v1/admin/config", self._config),
-            ("GET", "/v1/admin/config/history", self._history),
-            ("POST", "/v1/admin/config", self._publish),
-            ("GET", "/v1/admin/programs/<program>", self._program),
-            ("DELETE", "/v1/admin/programs/<program>", self._end),
+            ("GET", "/v1/admin/config", self._show_config),
+            ("GET", "/v1/admin/config/history", self._show_history),
+            ("POST", "/v1/admin/config", self._publish_config),
+            ("GET", "/v1/admin/programs/<program>", self._show_program),
+            ("DELETE", "/v1/admin/programs/<program>", self._end_program),
             ("GET", "/v1/admin/programs/<program>/explain", self._explain),
-            ("GET", "/v1/admin/traces/<trace>", self._trace),
+            ("GET", "/v1/admin/traces/<trace>", self._show_trace),
         ]
 
-        def guarded(handler: Callable[..., Response]) -> Callable[..., Response]:
-            def run(request: Request, **values: str) -> Response:
-                keys.check_operator(request)
+        def operator_only(handler: Callable[..., Response]) -> Callable[..., Response]:
+            def handle(request: Request, **values: str) -> Response:
+                authenticator.check_operator(request)
                 return handler(request, **values)
 
-            return run
+            return handle
 
-        found = [
-            Rule(path, methods=[method], endpoint=guarded(handler))
+        rules = [
+            Rule(path, methods=[method], endpoint=operator_only(handler))
             for method, path, handler in routes
         ]
-        found.extend(probe_rules(self._core, self._ready))
-        return found
+        rules.extend(probe_rules(self._core, self._ready))
+        return rules
 
-    def _status(self, request: Request) -> Response:
+    def _show_status(self, request: Request) -> Response:
         membership = self._core.membership
         targets = self._core.catalogue.targets
         streams = self._core.local.streams.values()
@@ -160,19 +166,19 @@
             )
         )
 
-    def _targets(self, request: Request) -> Response:
-        views = self._bridge.wait(self._ask_targets())
+    def _list_targets(self, request: Request) -> Response:
+        views = self._bridge.run_coroutine(self._target_views())
         return json_response(TargetList(targets=views))
 
-    async def _ask_targets(self) -> list[TargetView]:
+    async def _target_views(self) -> list[TargetView]:
         targets = self._core.catalogue.targets
-        return list(await asyncio.gather(*map(self._ask_target, targets)))
+        return list(await asyncio.gather(*map(self._target_view, targets)))
 
-    async def _ask_target(self, target: TargetDocument) -> TargetView:
+    async def _target_view(self, target: TargetDocument) -> TargetView:
         link = self._core.links.to(target.spec.address)
         reply = await link.call(LoadRequest(), timeout=PEER_TIMEOUT)
         load = reply.load if isinstance(reply, LoadReply) else None
-        takes = self._core.membership.takes_work(target)
+        takes_work = self._core.membership.takes_work(target)
         return TargetView(
             name=target.name,
             type=target.spec.type.value,
@@ -180,7 +186,7 @@
             service=target.spec.service,
             host=target.spec.host,
             data_centre=target.spec.data_centre,
-            takes_work=takes and load is not None and not load.draining,
+            takes_work=takes_work and load is not None and not load.draining,
             answers=load is not None,
             load=load,
         )
@@ -190,9 +196,13 @@
         target = self._core.catalogue.target(body.target)
         if target is None:
             raise fail(
-                ErrorKind.NOT_FOUND, f"no target {body.target!r}", field="target"
+                ErrorKind.NOT_FOUND,
+                f"target {body.target!r} does not exist",
+                field="target",
             )
-        return json_response(self._bridge.wait(self._drain_target(target, body.drain)))
+        return json_response(
+            self._bridge.run_coroutine(self._drain_target(target, body.drain))
+        )
 
     async def _drain_target(self, target: TargetDocument, drain: bool) -> TargetView:
         link = self._core.links.to(target.spec.address)
@@ -201,9 +211,9 @@
             raise FailureError(reply.failure)
         if isinstance(reply, Accepted):
             self._core.membership.note_load(reply.load)
-        return await self._ask_target(target)
+        return await self._target_view(target)
 
-    def _config(self, request: Request) -> Response:
+    def _show_config(self, request: Request) -> Response:
         snapshot = self._core.view.snapshot(RecordId(""))
         return json_response(
             DocumentList(
@@ -211,75 +221,79 @@
             )
         )
 
-    def _history(self, request: Request) -> Response:
+    def _show_history(self, request: Request) -> Response:
         return json_response(PublicationList(publications=self._core.view.history))
 
-    def _publish(self, request: Request) -> Response:
+    def _publish_config(self, request: Request) -> Response:
         body = decode_body(read_body(request, MAX_BODY), PublishBody)
         publication = Publication(
             id=RecordId(body.id),
             author=body.author,
             changes=[
-                Change(key=one.key, base=one.base, document=one.document)
-                for one in body.changes
+                Change(key=change.key, base=change.base, document=change.document)
+                for change in body.changes
             ],
         )
-        verdict = self._bridge.wait(self._core.follower.publish(publication))
+        verdict = self._bridge.run_coroutine(self._core.follower.publish(publication))
         if isinstance(verdict, Failure):
             raise FailureError(verdict)
         return json_response(verdict, 200 if verdict.accepted else 409)
 
-    def _program(self, request: Request, program: str) -> Response:
-        return json_response(self._state(program))
+    def _show_program(self, request: Request, program: str) -> Response:
+        return json_response(self._get_program(program))
 
-    def _state(self, program: str) -> Any:
-        state = self._bridge.wait(self._router.locate(ProgramId(program)))
+    def _get_program(self, program: str) -> Any:
+        state = self._bridge.run_coroutine(
+            self._router.program_state(ProgramId(program))
+        )
         if state is None:
-            raise fail(ErrorKind.NOT_FOUND, f"no program {program!r}")
+            raise fail(ErrorKind.NOT_FOUND, f"program {program!r} does not exist")
         return state
 
-    def _end(self, request: Request, program: str) -> Response:
-        state = self._state(program)
+    def _end_program(self, request: Request, program: str) -> Response:
+        state = self._get_program(program)
         if state.ended is None:
             order = EndRequest(
                 program=state.program, spec=state.spec, reason="ended by an operator"
             )
-            self._bridge.wait(self._router.order_at_home(state, order))
-        return json_response(self._state(program))
+            self._bridge.run_coroutine(self._router.send_order_to_home(state, order))
+        return json_response(self._get_program(program))
 
     def _explain(self, request: Request, program: str) -> Response:
-        known = ProgramId(program)
-        found = self._core.decisions.of(known)
-        found += self._bridge.wait(self._ask_decisions(known))
-        found.sort(key=lambda decision: decision.at)
-        return json_response(Explanation(program=program, decisions=found))
+        program_id = ProgramId(program)
+        decisions = self._core.decisions.of(program_id)
+        decisions += self._bridge.run_coroutine(self._peer_decisions(program_id))
+        decisions.sort(key=lambda decision: decision.at)
+        return json_response(Explanation(program=program, decisions=decisions))
 
-    async def _ask_decisions(self, program: ProgramId) -> list[Decision]:
+    async def _peer_decisions(self, program: ProgramId) -> list[Decision]:
         request = ExplainRequest(program=program)
-        found: list[Decision] = []
-        for reply in await self._ask_all(request):
+        decisions: list[Decision] = []
+        for reply in await self._call_peers(request):
             if isinstance(reply, ExplainReply):
-                found.extend(reply.decisions)
-        return found
+                decisions.extend(reply.decisions)
+        return decisions
 
-    async def _ask_all(self, request: ExplainRequest | TraceRequest) -> list[Any]:
+    async def _call_peers(self, request: ExplainRequest | TraceRequest) -> list[Any]:
         addresses = self._core.membership.peers().values()
-        asked = [
+        calls = [
             self._core.links.to(address).call(request, timeout=PEER_TIMEOUT)
             for address in addresses
         ]
-        return list(await asyncio.gather(*asked))
+        return list(await asyncio.gather(*calls))
 
-    def _trace(self, request: Request, trace: str) -> Response:
+    def _show_trace(self, request: Request, trace: str) -> Response:
         spans = self._core.tracing.spans(trace)
-        for reply in self._bridge.wait(self._ask_all(TraceRequest(trace_id=trace))):
+        for reply in self._bridge.run_coroutine(
+            self._call_peers(TraceRequest(trace_id=trace))
+        ):
             if isinstance(reply, TraceReply):
                 spans.extend(reply.spans)
         return json_response(TraceView(spans=spans, tree=render_tree(spans)))
 
 
 def probe_rules(core: Core, ready: Callable[[], bool]) -> list[Rule]:
-    """Return the routes for metrics and probes, which need no key."""
+    """Return the routes of metrics and probes, which need no key."""
 
     def metrics(request: Request) -> Response:
         body, headers = core.metrics.render(request.headers.get("Accept", ""))
--- a/sequoiaarch/gateway/requests.py
+++ b/sequoiaarch/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Read what callers and operators send."""
+"""Parses, validates and authenticates the requests of callers and operators."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from ..workspaces.spans import QuotaBounds
 
 PROGRAM_ID = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$")
-KEY = re.compile(r"^[\x21-\x7e]{1,255}$")
+IDEMPOTENCY_KEY = re.compile(r"^[\x21-\x7e]{1,255}$")
 WORKSPACE_SEPARATOR = ":"
-DEFAULT_DEADLINE = 600.0
-TRUE_TEXTS = {"true", "1", "yes"}
-FALSE_TEXTS = {"", "false", "0", "no"}
+DEFAULT_DEADLINE = 600.0  # seconds
+TRUE_VALUES = {"true", "1", "yes"}
+FALSE_VALUES = {"", "false", "0", "no"}
 
 
 class ProgramBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Ask for a new program."""
+    """Request body: create a program."""
 
     id: str | None = None
     program: str | None = None
@@ -39,7 +39,7 @@
 
 
 class ChildBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Ask for a sub-agent; the budget is moved out of its parent's."""
+    """Request body: create a sub-agent with a part of its parent's budget."""
 
     id: str | None = None
     budget: int
@@ -47,7 +47,7 @@
 
 
 class PublishChange(msgspec.Struct, frozen=True, kw_only=True):
-    """Ask to replace one document, or to remove it."""
+    """Replaces one document, or removes it if `document` is null."""
 
     key: str
     base: int
@@ -57,7 +57,7 @@
 class PublishBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """Ask to publish changes together."""
+    """Request body: publish a set of configuration changes atomically."""
 
     id: str
     author: str = "operator"
@@ -65,7 +65,7 @@
 
 
 class DrainBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Ask a target to drain, or to take work again."""
+    """Request body: drain a target, or let it take work again."""
 
     target: str
     drain: bool = True
@@ -75,42 +75,46 @@
 
 
 def read_body(request: Request, limit: int) -> bytes:
-    """Return the body of a request, which must not pass the limit."""
+    """Return the body of a request; fails if it is longer than `limit` bytes."""
     length = request.content_length
     if length is not None and length > limit:
-        raise fail(ErrorKind.TOO_LARGE, f"the body has {length} bytes, over {limit}")
+        raise fail(
+            ErrorKind.TOO_LARGE, f"the body has {length} bytes, the limit is {limit}"
+        )
     body = request.stream.read(limit + 1)
     if len(body) > limit:
-        raise fail(ErrorKind.TOO_LARGE, f"the body has over {limit} bytes")
+        raise fail(ErrorKind.TOO_LARGE, f"the body has more than {limit} bytes")
     return body
 
 
 def decode_body(body: bytes, kind: type[BodyT]) -> BodyT:
-    """Return a typed body, or fail with the field at fault."""
+    """Decode a JSON body; the error names the invalid field."""
     try:
         return msgspec.json.decode(body or b"{}", type=kind)
     except msgspec.ValidationError as error:
-        reason, _, place = str(error).partition(" - at ")
-        field = place.strip("`").removeprefix("$.") or None
+        reason, _, path = str(error).partition(" - at ")
+        field = path.strip("`").removeprefix("$.") or None
         raise fail(ErrorKind.MALFORMED, reason, field=field) from None
     except msgspec.DecodeError as error:
-        raise fail(ErrorKind.MALFORMED, f"the body is not JSON: {error}") from None
+        raise fail(
+            ErrorKind.MALFORMED, f"the body is not valid JSON: {error}"
+        ) from None
 
 
-def bearer(request: Request) -> str:
+def bearer_key(request: Request) -> str:
     """Return the bearer key of a request."""
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not key:
         raise fail(
-            ErrorKind.UNAUTHORISED, "a bearer key is needed", field="Authorization"
+            ErrorKind.UNAUTHORISED, "a bearer key is required", field="Authorization"
         )
     return key.strip()
 
 
-class KeyTable:
-    """Know callers and operators by their bearer keys, and hold callers to limits.
+class RequestAuthenticator:
+    """Authenticates bearer keys and enforces the rate limits of workspaces.
 
-    Each daemon keeps its limits by itself.
+    Each process counts on its own; the limits are not shared between gateways.
     """
 
     def __init__(self, *, settings: Settings) -> None:
@@ -122,21 +126,21 @@
         self._lock = threading.Lock()
 
     def workspace(self, request: Request) -> Workspace:
-        """Return the workspace of the caller."""
+        """Return the workspace of the caller without counting the request."""
         return self._caller(request).workspace or ANONYMOUS
 
     def admit(self, request: Request) -> Workspace:
-        """Return the workspace of the caller, which has room for a call more."""
+        """Count a call against the rate limit of its workspace, which is returned."""
         caller = self._caller(request)
         if caller.limit is not None:
             with self._lock:
-                found = self._quotas.take_here(caller)
-            if isinstance(found, Refusal):
-                raise quota_failure(caller, found)
+                result = self._quotas.take_here(caller)
+            if isinstance(result, Refusal):
+                raise quota_failure(caller, result)
         return caller.workspace or ANONYMOUS
 
     def _caller(self, request: Request) -> Caller:
-        key = bearer(request)
+        key = bearer_key(request)
         try:
             return self._access.identify(key, public=False)
         except FailureError as error:
@@ -144,33 +148,33 @@
             raise FailureError(failure) from None
 
     def check_operator(self, request: Request) -> None:
-        """Refuse whoever is no operator."""
-        if bearer(request) not in self._operators:
+        """Fail unless the request has the key of an operator."""
+        if bearer_key(request) not in self._operators:
             raise fail(
                 ErrorKind.UNAUTHORISED,
-                "the key is not an operator's",
+                "the key is not an operator key",
                 field="Authorization",
             )
 
 
 def _directory(settings: Settings) -> Directory:
     limits = {
-        one.workspace: RateLimit(rate=one.rate, burst=one.burst)
-        for one in settings.workspace_limits
+        limit.workspace: RateLimit(rate=limit.rate, burst=limit.burst)
+        for limit in settings.workspace_limits
     }
-    keys: dict[str, set[str]] = defaultdict(set)
+    keys_by_workspace: dict[str, set[str]] = defaultdict(set)
     for caller in settings.callers:
-        keys[caller.workspace].add(caller.key)
+        keys_by_workspace[caller.workspace].add(caller.key)
     return Directory(
         WorkspaceEntry(
-            name=Workspace(name), keys=frozenset(held), limit=limits.get(name)
+            name=Workspace(name), keys=frozenset(keys), limit=limits.get(name)
         )
-        for name, held in keys.items()
+        for name, keys in keys_by_workspace.items()
     )
 
 
-def inner_id(workspace: Workspace, program: str, field: str) -> ProgramId:
-    """Return the identifier of a program of a workspace."""
+def qualified_id(workspace: Workspace, program: str, field: str) -> ProgramId:
+    """Return the internal id of a program, which includes its workspace."""
     if not PROGRAM_ID.match(program):
         raise fail(
             ErrorKind.MALFORMED,
@@ -180,54 +184,54 @@
     return ProgramId(f"{workspace}{WORKSPACE_SEPARATOR}{program}")
 
 
-def outer_id(program: ProgramId) -> str:
-    """Return the identifier of a program as its caller knows it."""
+def public_id(program: ProgramId) -> str:
+    """Return the id of a program without its workspace, as callers see it."""
     return program.split(WORKSPACE_SEPARATOR, 1)[1]
 
 
 def child_id(parent: ProgramId, name: str) -> ProgramId:
-    """Return the identifier of a sub-agent."""
+    """Return the id of a sub-agent."""
     return ProgramId(f"{parent}{CHILD_SEPARATOR}{name}")
 
 
 def read_seq(request: Request) -> Seq | None:
-    """Return the sequence number of a call, if its caller gives one."""
+    """Return the sequence number of a call, None if the header is absent."""
     text = request.headers.get("X-Call-Seq")
     if text is None:
         return None
     if not text.isascii() or not text.isdigit() or not 1 <= int(text) < 2**31:
         raise fail(
             ErrorKind.MALFORMED,
-            f"must be a whole number from 1; given {text!r}",
+            f"must be an integer from 1 to 2147483647; got {text!r}",
             field="X-Call-Seq",
         )
     return Seq(int(text))
 
 
 def read_key(request: Request) -> str | None:
-    """Return the idempotency key of a call."""
+    """Return the idempotency key of a call, None if the header is absent."""
     key = request.headers.get("Idempotency-Key")
-    if key is not None and not KEY.match(key):
+    if key is not None and not IDEMPOTENCY_KEY.match(key):
         raise fail(
             ErrorKind.MALFORMED,
-            "must be 1 to 255 visible characters",
+            "must be 1 to 255 printable ASCII characters without spaces",
             field="Idempotency-Key",
         )
     return key
 
 
 def read_flag(request: Request, name: str) -> bool:
-    """Return a header that is true or false."""
+    """Return a boolean header, False if it is absent."""
     text = request.headers.get(name, "").lower()
-    if text in TRUE_TEXTS:
+    if text in TRUE_VALUES:
         return True
-    if text in FALSE_TEXTS:
+    if text in FALSE_VALUES:
         return False
     raise fail(ErrorKind.MALFORMED, "must be true or false", field=name)
 
 
 def read_deadline(request: Request) -> float:
-    """Return the seconds within which the caller wants its answer."""
+    """Return the request timeout in seconds."""
     text = request.headers.get("X-Request-Timeout")
     if text is None:
         return DEFAULT_DEADLINE
@@ -238,7 +242,7 @@
     if not 0 < seconds <= 86_400:
         raise fail(
             ErrorKind.MALFORMED,
-            f"must be seconds above 0; given {text!r}",
+            f"must be a number of seconds above 0; got {text!r}",
             field="X-Request-Timeout",
         )
     return seconds
--- a/sequoiaarch/gateway/responses.py
+++ b/sequoiaarch/gateway/responses.py
@@ -1,4 +1,4 @@
-"""Write answers: JSON, streams of events, and errors."""
+"""HTTP responses: JSON, server-sent events and errors."""
 
 from __future__ import annotations
 
@@ -13,25 +13,25 @@
 from ..home.answers import error_body
 from ..home.chat import replay_events
 from ..wire.messages import Chunk
-from .bridge import Event
+from .bridge import CallEvent
 
 EMPTY_CHOICES = b'"choices":[]'
 
 
 def end_span(span: Span, failure: Failure | None) -> None:
-    """End the span of a call with its result."""
+    """Record the result of a call in its span and end the span."""
     span.set_attribute("result", failure.kind.value if failure else "answered")
     span.end()
 
 
 def event_stream(
-    first: Event, events: Iterator[Event], span: Span, wants_usage: bool
+    first: CallEvent, events: Iterator[CallEvent], span: Span, wants_usage: bool
 ) -> Iterator[bytes]:
-    """Yield the answer as server-sent events."""
-    pieces = 0
-    event: Event = first
+    """Yield the events of a call as server-sent events."""
+    chunk_count = 0
+    event: CallEvent = first
     while isinstance(event, Chunk):
-        pieces += 1
+        chunk_count += 1
         if wants_usage or EMPTY_CHOICES not in event.data:
             yield b"data: " + event.data + b"\n\n"
         event = next(events)
@@ -39,8 +39,8 @@
         end_span(span, event)
         yield b"data: " + msgspec.json.encode(error_body(event)) + b"\n\n"
         return
-    if pieces == 0 and event.answer is not None:
-        # The answer was complete before this caller asked for it.
+    if chunk_count == 0 and event.answer is not None:
+        # A repeated call returns the recorded answer without chunks.
         for payload in replay_events(event.answer.body):
             yield b"data: " + payload + b"\n\n"
     end_span(span, None)
@@ -50,7 +50,7 @@
 
 
 def http_failure(error: HTTPException) -> Failure:
-    """Return the failure for a request that no route takes."""
+    """Return the failure for a request that matches no route."""
     kind = ErrorKind.NOT_FOUND
     if error.code != 404:
         kind = ErrorKind.MALFORMED
@@ -58,13 +58,13 @@
 
 
 def json_response(value: object, status: int = 200) -> Response:
-    """Return a JSON answer."""
+    """Return a JSON response."""
     body = msgspec.json.encode(value)
     return Response(body, status=status, mimetype="application/json")
 
 
 def error_response(failure: Failure) -> Response:
-    """Return the answer that a failure gets."""
+    """Return the error response for a failure."""
     response = json_response(error_body(failure), failure.answer.status)
     if failure.wait is not None:
         response.headers["Retry-After"] = str(max(1, round(failure.wait)))
--- a/sequoiaarch/gateway/views.py
+++ b/sequoiaarch/gateway/views.py
@@ -1,4 +1,4 @@
-"""Show programs and models to their callers."""
+"""JSON representations of programs and models."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import msgspec
 
 from ..records.types import ProgramState
-from .requests import outer_id
+from .requests import public_id
 
 
 class HistoryEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one call of a history."""
+    """One committed call of a program."""
 
     seq: int
     messages: list[Any]
@@ -19,7 +19,7 @@
 
 
 class ProgramView(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one program to its caller; amounts in tokens."""
+    """One program as shown to its caller; budget amounts are in tokens."""
 
     id: str
     state: str
@@ -38,7 +38,7 @@
 
 
 class Model(msgspec.Struct, frozen=True, kw_only=True):
-    """Show one model."""
+    """One model in the OpenAI format."""
 
     id: str
     object: str = "model"
@@ -47,7 +47,7 @@
 
 
 class ModelList(msgspec.Struct, frozen=True, kw_only=True):
-    """Show the models of a workspace."""
+    """The models of a workspace in the OpenAI format."""
 
     object: str = "list"
     data: list[Model]
@@ -56,13 +56,13 @@
 def program_view(
     state: ProgramState, history: list[HistoryEntry] | None = None
 ) -> ProgramView:
-    """Return a program as its caller sees it."""
+    """Return the public representation of a program."""
     return ProgramView(
-        id=outer_id(state.program),
+        id=public_id(state.program),
         state="ended" if state.ended is not None else "running",
         program=state.spec.name,
         labels=state.spec.labels,
-        parent=outer_id(state.spec.parent) if state.spec.parent else None,
+        parent=public_id(state.spec.parent) if state.spec.parent else None,
         home=state.home,
         epoch=state.epoch,
         committed_seq=state.seq,
--- a/sequoiaarch/tests/gateway/__init__.py
+++ b/sequoiaarch/tests/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Test package gateway."""
+"""Tests of the gateway."""
--- a/sequoiaarch/tests/gateway/app_tests.py
+++ b/sequoiaarch/tests/gateway/app_tests.py
@@ -1,4 +1,4 @@
-"""Test what callers see over HTTP."""
+"""Test the HTTP API of callers."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class ChatTests(SystemTestCase):
-    """Hold conversations of several turns."""
+    """Test conversations of several turns."""
 
     def openai_client(self) -> openai.OpenAI:
-        """Return the stock client with base URL and key only."""
+        """Return an unmodified OpenAI client with base URL and key only."""
         gateway = self.system.nodes["gateway-1"].gateway
         assert gateway is not None
         return openai.OpenAI(
@@ -31,8 +31,8 @@
             max_retries=0,
         )
 
-    def test_stock_client_plain(self) -> None:
-        """Hold a plain conversation with the stock client."""
+    def test_openai_client(self) -> None:
+        """The OpenAI client can hold a conversation without streaming."""
         client = self.openai_client()
         messages: list = []
         for turn in range(3):
@@ -48,10 +48,12 @@
             assert answer.usage is not None
             self.assertGreater(answer.usage.completion_tokens, 0)
             messages.append(message.model_dump())
-        wait_until(lambda: self.system.state("plain").seq == 3, "three commits")
+        wait_until(
+            lambda: self.system.state("plain").seq == 3, "three turns are committed"
+        )
 
-    def test_stock_client_streaming(self) -> None:
-        """Hold a streamed conversation with the stock client."""
+    def test_openai_client_streaming(self) -> None:
+        """The OpenAI client can hold a streamed conversation."""
         client = self.openai_client()
         messages: list = []
         for turn in range(3):
@@ -62,17 +64,18 @@
                 stream=True,
                 extra_headers={"X-Program-Id": "streamed"},
             )
-            pieces = [chunk.choices[0].delta.content or "" for chunk in stream]
-            self.assertGreater(len(pieces), 2)
-            messages.append({"role": "assistant", "content": "".join(pieces)})
-        kept = Conversation(client=self.system.client(), program="streamed").kept
-        wait_until(lambda: len(kept()) == 6, "three commits")
+            chunks = [chunk.choices[0].delta.content or "" for chunk in stream]
+            self.assertGreater(len(chunks), 2)
+            messages.append({"role": "assistant", "content": "".join(chunks)})
+        history = Conversation(client=self.system.client(), program="streamed").kept
+        wait_until(lambda: len(history()) == 6, "three turns are committed")
         self.assertEqual(
-            [one["content"] for one in kept()], [one["content"] for one in messages]
+            [message["content"] for message in history()],
+            [message["content"] for message in messages],
         )
 
     def test_single_call_ends_its_program(self) -> None:
-        """End the program of a call that names none, and free its memory."""
+        """The implicit program of a single call is ended and its memory freed."""
         answer = self.system.client().request(
             "POST",
             "/v1/chat/completions",
@@ -87,30 +90,34 @@
                     for key in engine.cache_keys
                 )
             ),
-            "memory freed",
+            "the engine memory is freed",
         )
 
     def test_repeat_gets_the_same_answer(self) -> None:
-        """Answer a call that was answered before with the same answer."""
-        talk = self.converse("repeated")
-        first = talk.say("hello", seq=1)
-        again = self.converse("repeated").say("hello", seq=1)
-        self.assertEqual(first, again)
-
-    def test_stock_client_repeat_without_seq(self) -> None:
-        """Answer a repeated request without a number with the same answer."""
+        """A repeated call with the same sequence number gets the same answer."""
+        conversation = self.converse("repeated")
+        first = conversation.say("hello", seq=1)
+        repeated = self.converse("repeated").say("hello", seq=1)
+        self.assertEqual(first, repeated)
+
+    def test_repeat_without_seq(self) -> None:
+        """A repeated call without a sequence number gets the same answer."""
         first = self.converse("unnumbered").say("hello")
-        again = self.converse("unnumbered").say("hello")
-        self.assertEqual(first, again)
-        wait_until(lambda: self.system.state("unnumbered").seq == 1, "one commit")
+        repeated = self.converse("unnumbered").say("hello")
+        self.assertEqual(first, repeated)
+        wait_until(
+            lambda: self.system.state("unnumbered").seq == 1, "the turn is committed"
+        )
 
-    def test_streamed_repeat_is_whole(self) -> None:
-        """Stream an answer that was complete before it was asked for again."""
-        talk = self.converse("replayed")
-        body = talk.body("hello", stream=True)
+    def test_streamed_repeat_is_complete(self) -> None:
+        """A repeated streamed call streams the recorded answer."""
+        conversation = self.converse("replayed")
+        body = conversation.body("hello", stream=True)
 
         def text() -> str:
-            events = talk.client.stream("/v1/chat/completions", body, talk.headers(1))
+            events = conversation.client.stream(
+                "/v1/chat/completions", body, conversation.headers(1)
+            )
             deltas = [event["choices"][0]["delta"] for event in events]
             return "".join(delta.get("content") or "" for delta in deltas)
 
@@ -120,17 +127,23 @@
 
 
 class ErrorTests(SystemTestCase):
-    """Refuse what is wrong, with kind, field, reason and a true `not_run`."""
+    """Test that errors have the right status, kind, field, reason and `not_run`."""
 
-    def refused(self, body: object, **headers: str) -> ClientError:
-        """Return the error that a chat request gets."""
-        found = {name.replace("_", "-"): value for name, value in headers.items()}
+    def refused_chat(self, body: object, **headers: str) -> ClientError:
+        """Send a chat request and return the error response."""
+        header_fields = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
         with self.assertRaises(ClientError) as caught:
-            self.system.client().request("POST", "/v1/chat/completions", body, found)
+            self.system.client().request(
+                "POST", "/v1/chat/completions", body, header_fields
+            )
         return caught.exception
 
-    def check(self, error: ClientError, status: int, kind: str, field: str) -> None:
-        """Compare an error with what it should be."""
+    def check_error(
+        self, error: ClientError, status: int, kind: str, field: str
+    ) -> None:
+        """Check all parts of an error response."""
         self.assertEqual(error.body["kind"], kind)
         self.assertEqual(error.status, status)
         self.assertEqual(error.body.get("field"), field)
@@ -139,7 +152,7 @@
         self.assertEqual(error.body["error"]["type"], kind)
 
     def test_fields(self) -> None:
-        """Name the field at fault."""
+        """The error names the invalid field of the body."""
         user = [{"role": "user", "content": "x"}]
         cases = [
             ({"model": MODEL}, "messages"),
@@ -150,7 +163,7 @@
         ]
         for body, field in cases:
             with self.subTest(field=field):
-                error = self.refused(body)
+                error = self.refused_chat(body)
                 self.assertEqual(error.status, 400)
                 self.assertEqual(error.body["kind"], "malformed")
                 self.assertIn(
@@ -158,7 +171,7 @@
                 )
 
     def test_headers(self) -> None:
-        """Name the header at fault."""
+        """The error names the invalid header."""
         body = {"model": MODEL, "messages": [{"role": "user", "content": "x"}]}
         cases = [
             ({"X_Program_Id": "a b"}, "X-Program-Id"),
@@ -167,68 +180,73 @@
         ]
         for headers, field in cases:
             with self.subTest(field=field):
-                self.check(self.refused(body, **headers), 400, "malformed", field)
+                self.check_error(
+                    self.refused_chat(body, **headers), 400, "malformed", field
+                )
 
     def test_unknown_model(self) -> None:
-        """Refuse a model that no Program of the workspace uses."""
+        """A model that no Program of the workspace uses is refused."""
         body = {"model": "nothing", "messages": [{"role": "user", "content": "x"}]}
-        self.check(self.refused(body), 404, "unknown_model", "model")
+        self.check_error(self.refused_chat(body), 404, "unknown_model", "model")
 
     def test_unauthorised(self) -> None:
-        """Refuse an unknown key."""
+        """An unknown key is refused."""
         with self.assertRaises(ClientError) as caught:
             self.system.client(key="no-such-key").request("GET", "/v1/models")
-        self.check(caught.exception, 401, "unauthorised", "Authorization")
+        self.check_error(caught.exception, 401, "unauthorised", "Authorization")
 
     def test_out_of_sequence(self) -> None:
-        """Refuse a call whose predecessor never came."""
-        talk = self.converse("gap")
-        talk.say("first", seq=1)
+        """A call that skips a sequence number is refused."""
+        conversation = self.converse("gap")
+        conversation.say("first", seq=1)
         with self.assertRaises(ClientError) as caught:
-            talk.say("third", seq=3, patient=False)
-        self.check(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
+            conversation.say("third", seq=3, patient=False)
+        self.check_error(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
         self.assertEqual(caught.exception.body["expected_seq"], 2)
 
-    def test_other_request_under_a_used_number(self) -> None:
-        """Refuse another request under the number of an answered call."""
+    def test_sequence_number_reused_for_another_request(self) -> None:
+        """Another request with the sequence number of an answered call is refused."""
         self.converse("taken").say("one thing", seq=1)
         with self.assertRaises(ClientError) as caught:
             self.converse("taken").say("another", seq=1, patient=False)
-        self.check(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
+        self.check_error(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
 
     def test_history_conflict(self) -> None:
-        """Refuse messages that do not extend the history."""
-        talk = self.converse("forked")
-        talk.say("first")
-        talk.messages[0]["content"] = "never said"
+        """Messages that don't extend the history of the program are refused."""
+        conversation = self.converse("forked")
+        conversation.say("first")
+        conversation.messages[0]["content"] = "never said"
         with self.assertRaises(ClientError) as caught:
-            talk.say("second", patient=False)
-        self.check(caught.exception, 409, "history_conflict", "messages")
+            conversation.say("second", patient=False)
+        self.check_error(caught.exception, 409, "history_conflict", "messages")
 
-    def test_another_workspace_sees_nothing(self) -> None:
-        """Hide programs of other workspaces and keep equal names apart."""
+    def test_programs_are_private_to_their_workspace(self) -> None:
+        """Programs of other workspaces are hidden, also those with the same id."""
         self.converse("mine").say("secret")
         other = self.system.client(key=OTHER_KEY)
         with self.assertRaises(ClientError) as caught:
             other.request("GET", "/v1/programs/mine")
         self.assertEqual(caught.exception.status, 404)
         Conversation(client=other, program="mine").say("my own")
-        wait_until(lambda: self.system.state("mine", "beta"), "own program")
-        kept = Conversation(client=other, program="mine").kept()
-        self.assertEqual(kept[0]["content"], "my own")
+        wait_until(
+            lambda: self.system.state("mine", "beta"),
+            "the program of the other workspace",
+        )
+        history = Conversation(client=other, program="mine").kept()
+        self.assertEqual(history[0]["content"], "my own")
 
     def test_too_large(self) -> None:
-        """Refuse a body over the limit before reading it whole."""
+        """A body over the size limit is refused."""
         gateway = self.system.nodes["gateway-1"]
         limit = gateway.core.settings.http.max_body
         content = "x" * (limit + 1)
         body = {"model": MODEL, "messages": [{"role": "user", "content": content}]}
-        error = self.refused(body)
+        error = self.refused_chat(body)
         self.assertEqual(error.status, 413)
         self.assertEqual(error.body["kind"], "too_large")
 
     def test_key_needed(self) -> None:
-        """Refuse a non-idempotent call without a key."""
+        """A non-idempotent call without an idempotency key is refused."""
         self.converse("keyless").say("hello")
         with self.assertRaises(ClientError) as caught:
             self.system.client().request(
@@ -237,54 +255,56 @@
                 {},
                 {"X-Non-Idempotent": "true"},
             )
-        self.check(caught.exception, 400, "malformed", "Idempotency-Key")
+        self.check_error(caught.exception, 400, "malformed", "Idempotency-Key")
 
     def test_unknown_service(self) -> None:
-        """Refuse a service that the Program does not name."""
+        """A service that the Program does not list is refused."""
         self.converse("toolless").say("hello")
         with self.assertRaises(ClientError) as caught:
             self.system.client().request(
                 "POST", "/v1/programs/toolless/tools/nothing", {}
             )
-        self.check(caught.exception, 404, "unknown_service", "service")
+        self.check_error(caught.exception, 404, "unknown_service", "service")
 
-    def test_no_route(self) -> None:
-        """Answer an unknown path in the same form."""
+    def test_unknown_path(self) -> None:
+        """An unknown path gets an error in the same format."""
         with self.assertRaises(ClientError) as caught:
             self.system.client().request("GET", "/v1/nothing")
         self.assertEqual(caught.exception.body["kind"], "not_found")
 
 
 class ProgramTests(SystemTestCase):
-    """Create, show and end programs and sub-agents."""
+    """Test the life cycle of programs and sub-agents."""
 
-    def test_life(self) -> None:
-        """Create, use, show and end a program."""
+    def test_program_life_cycle(self) -> None:
+        """A program can be created, used, shown and ended, but not used afterwards."""
         client = self.system.client()
-        made = client.request("POST", "/v1/programs", {"model": MODEL, "budget": 9000})
-        talk = Conversation(client=client, program=made["id"])
-        talk.say("hello")
-        wait_until(lambda: len(talk.kept()) == 2, "commit")
-        ended = client.request("DELETE", f"/v1/programs/{made['id']}")
+        created = client.request(
+            "POST", "/v1/programs", {"model": MODEL, "budget": 9000}
+        )
+        conversation = Conversation(client=client, program=created["id"])
+        conversation.say("hello")
+        wait_until(lambda: len(conversation.kept()) == 2, "the turn is committed")
+        ended = client.request("DELETE", f"/v1/programs/{created['id']}")
         self.assertEqual(ended["state"], "ended")
         self.assertEqual(ended["reserved"], 0)
         with self.assertRaises(ClientError) as caught:
-            talk.say("too late", patient=False)
+            conversation.say("too late", patient=False)
         self.assertEqual(caught.exception.body["kind"], "program_ended")
 
     def test_child_budget_moves_and_returns(self) -> None:
-        """Move budget to a sub-agent and return what it did not spend."""
+        """A sub-agent takes budget from its parent and returns the unspent rest."""
         client = self.system.client()
-        made = client.request(
+        created = client.request(
             "POST", "/v1/programs", {"model": MODEL, "budget": 50_000}
         )
-        path = f"/v1/programs/{made['id']}"
+        path = f"/v1/programs/{created['id']}"
         child = client.request("POST", f"{path}/programs", {"budget": 20_000})
-        self.assertEqual(child["parent"], made["id"])
+        self.assertEqual(child["parent"], created["id"])
         self.assertEqual(client.request("GET", path)["moved"], 20_000)
-        talk = Conversation(client=client, program=child["id"])
-        talk.say("work")
-        wait_until(lambda: len(talk.kept()) == 2, "commit")
+        conversation = Conversation(client=client, program=child["id"])
+        conversation.say("work")
+        wait_until(lambda: len(conversation.kept()) == 2, "the turn is committed")
         ended = client.request("DELETE", f"/v1/programs/{child['id']}")
         parent = client.request("GET", path)
         self.assertEqual(parent["moved"], 0)
@@ -292,27 +312,29 @@
         self.assertGreater(parent["spent"], 0)
 
     def test_child_over_budget(self) -> None:
-        """Refuse a sub-agent that asks for more than its parent has."""
+        """A sub-agent with a budget larger than its parent's is refused."""
         client = self.system.client()
-        made = client.request("POST", "/v1/programs", {"model": MODEL, "budget": 100})
+        created = client.request(
+            "POST", "/v1/programs", {"model": MODEL, "budget": 100}
+        )
         with self.assertRaises(ClientError) as caught:
             client.request(
-                "POST", f"/v1/programs/{made['id']}/programs", {"budget": 101}
+                "POST", f"/v1/programs/{created['id']}/programs", {"budget": 101}
             )
         self.assertEqual(caught.exception.body["kind"], "budget_exhausted")
 
-    def test_plain_service_key_runs_once(self) -> None:
-        """Run a plain call under a key once, whoever asks again."""
+    def test_service_call_with_a_key_runs_once(self) -> None:
+        """A repeated service call with the same idempotency key runs once."""
         client = self.system.client()
         headers = {"Idempotency-Key": "slip-1", "X-Non-Idempotent": "true"}
         path = "/v1/services/tools/print"
         first = client.request("POST", path, {"slip": 1}, headers)
-        again = client.request("POST", path, {"slip": 1}, headers)
-        self.assertEqual(first, again)
+        repeated = client.request("POST", path, {"slip": 1}, headers)
+        self.assertEqual(first, repeated)
         self.assertEqual(self.system.executions()["slip-1"], 1)
 
     def test_key_with_another_body(self) -> None:
-        """Refuse another request under a key that was used."""
+        """Another request with a used idempotency key is refused."""
         client = self.system.client()
         headers = {"Idempotency-Key": "slip-2", "X-Non-Idempotent": "true"}
         client.request("POST", "/v1/services/tools/print", {"slip": 2}, headers)
@@ -321,35 +343,34 @@
         self.assertEqual(caught.exception.body["kind"], "key_conflict")
 
 
-class HoldUpTests(SystemTestCase):
-    """Let no bad connection hold anybody up."""
+class BadConnectionTests(SystemTestCase):
+    """Test that a malformed connection does not affect other callers."""
 
-    def test_half_requests_hold_nobody_up(self) -> None:
-        """Answer others while many clients send half a request.
+    def test_incomplete_requests_do_not_block_others(self) -> None:
+        """Callers are served while forty clients have sent incomplete headers.
 
-        Forty clients connect, send a part of their headers and stop. Each
-        holds a thread; threads are added, so another caller is served.
+        Each of these connections occupies a thread of the web server.
         """
         gateway = self.system.nodes["gateway-1"].gateway
         assert gateway is not None
         sockets = []
         for _ in range(40):
-            one = socket.create_connection(("127.0.0.1", gateway.port))
-            one.sendall(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n")
-            sockets.append(one)
-            self.addCleanup(one.close)
+            client = socket.create_connection(("127.0.0.1", gateway.port))
+            client.sendall(b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n")
+            sockets.append(client)
+            self.addCleanup(client.close)
         answer = in_thread(lambda: self.converse("bystander").say("hello"))
         self.assertTrue(answer.result(60))
 
-    def test_oversized_headers(self) -> None:
-        """Refuse oversized headers and go on."""
+    def test_oversized_headers_are_refused(self) -> None:
+        """Oversized headers are refused, and the next call is served."""
         gateway = self.system.nodes["gateway-1"].gateway
         assert gateway is not None
-        with socket.create_connection(("127.0.0.1", gateway.port)) as one:
-            one.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: ")
+        with socket.create_connection(("127.0.0.1", gateway.port)) as client:
+            client.sendall(b"GET /healthz HTTP/1.1\r\nHost: x\r\nX-Long: ")
             try:
-                one.sendall(b"a" * 200_000)
-                reply = one.recv(4096)
+                client.sendall(b"a" * 200_000)
+                reply = client.recv(4096)
             except ConnectionError:
                 reply = b"HTTP/1.1 413"
         self.assertIn(b" 4", reply[:16])
