--- a/sequoiaarch/sidecar/__init__.py
+++ b/sequoiaarch/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Stand beside one target and be the only way to it."""
+"""Sidecar: controls all access to one target, an engine or a service."""
--- a/sequoiaarch/sidecar/executor.py
+++ b/sequoiaarch/sidecar/executor.py
@@ -1,4 +1,4 @@
-"""Run attempts of calls at the target, each at most once."""
+"""Runs call attempts at the target, each at most once."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from ..observe.traces import Tracing
 from ..policies.order import Ticket
 from ..wire.messages import CallKind, DispatchRequest
-from .memory import EngineMemory
+from .prefix_cache import PrefixCacheManager
 from .queue import TargetQueue
 
 log = logbook.Logger("executor")
 
-ATTEMPTS_KEPT = 16_384
-EPOCHS_KEPT = 16_384
-LEARNING = 0.1
+MAX_REMEMBERED_ATTEMPTS = 16_384
+MAX_REMEMBERED_EPOCHS = 16_384
+SMOOTHING_FACTOR = 0.1  # weight of the newest call in the average duration
 
 
 class AttemptResult(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold what an attempt brought; `seconds` is the time at the target."""
+    """The result of an attempt; `seconds` is the time spent at the target."""
 
     status: int = 200
     body: bytes = b""
@@ -46,21 +46,21 @@
 
 
 class Executor:
-    """Admit, gate and run what is dispatched to this target."""
+    """Queues attempts for a slot of the target and runs them."""
 
     def __init__(
         self,
         *,
         engine: ModelEngine | None,
         service: Service | None,
-        memory: EngineMemory | None,
+        prefix_cache: PrefixCacheManager | None,
         queue: TargetQueue,
         metrics: Metrics,
         tracing: Tracing,
     ) -> None:
         self._engine = engine
         self._service = service
-        self._memory = memory
+        self._prefix_cache = prefix_cache
         self._queue = queue
         self._metrics = metrics
         self._tracing = tracing
@@ -70,17 +70,17 @@
 
     @property
     def call_seconds(self) -> float:
-        """Return the seconds that a call has lately taken at the target."""
+        """Return the moving average of the seconds that a call takes at the target."""
         return self._call_seconds
 
-    def _learn(self, seconds: float) -> None:
-        mean = self._call_seconds or seconds
-        self._call_seconds = mean + LEARNING * (seconds - mean)
+    def _record_duration(self, seconds: float) -> None:
+        average = self._call_seconds or seconds
+        self._call_seconds = average + SMOOTHING_FACTOR * (seconds - average)
 
     async def run(
         self, dispatch: DispatchRequest, emit: Emit
     ) -> AttemptResult | Failure:
-        """Run one attempt; the failure says truly whether it ran."""
+        """Run one attempt; a failure states whether the attempt was run."""
         span = self._tracing.start(
             "target",
             dispatch.trace,
@@ -89,9 +89,9 @@
             attempt=dispatch.attempt,
         )
         try:
-            self._gate(dispatch)
+            self._check_superseded(dispatch)
             async with asyncio.timeout(dispatch.deadline):
-                return await self._admit(
+                return await self._queue_and_run(
                     dispatch, emit, self._tracing.traceparent(span)
                 )
         except FailureError as error:
@@ -107,73 +107,77 @@
         finally:
             span.end()
 
-    def _gate(self, dispatch: DispatchRequest) -> None:
-        """Refuse what an old home or a second delivery brings.
+    def _check_superseded(self, dispatch: DispatchRequest) -> None:
+        """Refuse attempts from a superseded home and duplicate deliveries.
 
-        Targets that ignore fencing numbers would run it; this sidecar is the
-        only way to them, so refusing here is enough.
+        All attempts pass through this sidecar, so this check also protects targets
+        that don't support fencing.
         """
         current = self._epochs.get(dispatch.program, Epoch(0))
         if dispatch.epoch < current:
             raise fail(
                 ErrorKind.SUPERSEDED,
-                f"epoch {dispatch.epoch} was replaced by {current}",
+                f"epoch {dispatch.epoch} is superseded by {current}",
                 not_run=NotRun.YES,
             )
         self._epochs[dispatch.program] = dispatch.epoch
         self._epochs.move_to_end(dispatch.program)
-        while len(self._epochs) > EPOCHS_KEPT:
+        while len(self._epochs) > MAX_REMEMBERED_EPOCHS:
             self._epochs.popitem(last=False)
         if dispatch.attempt in self._attempts:
-            raise fail(ErrorKind.OUTCOME_UNKNOWN, "this attempt was delivered before")
+            raise fail(
+                ErrorKind.OUTCOME_UNKNOWN, "this attempt was already delivered once"
+            )
         self._attempts[dispatch.attempt] = None
-        while len(self._attempts) > ATTEMPTS_KEPT:
+        while len(self._attempts) > MAX_REMEMBERED_ATTEMPTS:
             self._attempts.popitem(last=False)
 
-    async def _admit(
+    async def _queue_and_run(
         self, dispatch: DispatchRequest, emit: Emit, trace: str
     ) -> AttemptResult | Failure:
         loop = asyncio.get_running_loop()
-        arrived = loop.time()
-        memory = self._memory
-        started = memory is None or memory.knows(dispatch.program)
+        arrived_at = loop.time()
+        prefix_cache = self._prefix_cache
+        started = prefix_cache is None or prefix_cache.has_prefix(dispatch.program)
         ticket = Ticket(
             program=dispatch.program,
-            arrived=arrived,
+            arrived=arrived_at,
             attained=dispatch.attained,
             weight=dispatch.weight,
             started=started or dispatch.kind is CallKind.SERVICE,
             tokens=dispatch.tokens,
         )
         try:
-            await self._queue.enter(ticket)
-            if memory is not None and dispatch.kind is CallKind.MODEL:
-                memory.begin(dispatch.program, dispatch.name, dispatch.tokens)
+            await self._queue.acquire_slot(ticket)
+            if prefix_cache is not None and dispatch.kind is CallKind.MODEL:
+                prefix_cache.call_started(
+                    dispatch.program, dispatch.name, dispatch.tokens
+                )
         except asyncio.CancelledError:
-            # The deadline passed while the call waited: it never ran.
+            # The deadline passed while the call was queued, so it was not run.
             raise fail(
                 ErrorKind.DEADLINE_EXCEEDED,
-                "the deadline passed in the queue of the target",
+                "the deadline passed while the call was queued at the target",
                 not_run=NotRun.YES,
             ) from None
-        self._metrics.wait.observe({}, loop.time() - arrived)
-        begun = loop.time()
+        self._metrics.wait.observe({}, loop.time() - arrived_at)
+        started_at = loop.time()
         try:
             if dispatch.kind is CallKind.MODEL:
-                return await self._run_model(dispatch, emit, trace, begun)
-            return await self._run_service(dispatch, trace, begun)
+                return await self._run_model(dispatch, emit, trace, started_at)
+            return await self._run_service(dispatch, trace, started_at)
         finally:
-            self._learn(loop.time() - begun)
-            self._queue.leave()
+            self._record_duration(loop.time() - started_at)
+            self._queue.release_slot()
 
     async def _run_model(
-        self, dispatch: DispatchRequest, emit: Emit, trace: str, begun: float
+        self, dispatch: DispatchRequest, emit: Emit, trace: str, started_at: float
     ) -> AttemptResult | Failure:
         engine = self._engine
-        memory = self._memory
-        if engine is None or memory is None:
-            raise fail(ErrorKind.NO_TARGET, "no engine stands behind this target")
-        await memory.prepare(dispatch.program)
+        prefix_cache = self._prefix_cache
+        if engine is None or prefix_cache is None:
+            raise fail(ErrorKind.NO_TARGET, "this target has no engine")
+        await prefix_cache.prepare_call(dispatch.program)
         request = EngineRequest(
             program=dispatch.program,
             attempt=dispatch.attempt,
@@ -190,24 +194,24 @@
             size = dispatch.tokens
             if isinstance(answer, EngineAnswer):
                 size = answer.prompt_tokens + answer.answer_tokens
-            memory.finished(dispatch.program, size)
+            prefix_cache.call_finished(dispatch.program, size)
         if isinstance(answer, Failure):
             return answer
-        missed = answer.prompt_tokens - answer.cached_tokens
+        uncached_tokens = answer.prompt_tokens - answer.cached_tokens
         self._metrics.cached_tokens.add({"cached": "yes"}, answer.cached_tokens)
-        self._metrics.cached_tokens.add({"cached": "no"}, missed)
+        self._metrics.cached_tokens.add({"cached": "no"}, uncached_tokens)
         return AttemptResult(
             prompt_tokens=answer.prompt_tokens,
             answer_tokens=answer.answer_tokens,
             cached_tokens=answer.cached_tokens,
-            seconds=asyncio.get_running_loop().time() - begun,
+            seconds=asyncio.get_running_loop().time() - started_at,
         )
 
     async def _run_service(
-        self, dispatch: DispatchRequest, trace: str, begun: float
+        self, dispatch: DispatchRequest, trace: str, started_at: float
     ) -> AttemptResult | Failure:
         if self._service is None:
-            raise fail(ErrorKind.NO_TARGET, "no service stands behind this target")
+            raise fail(ErrorKind.NO_TARGET, "this target has no service")
         request = ServiceRequest(
             method=dispatch.method,
             path=dispatch.path,
@@ -224,5 +228,5 @@
             status=answer.status,
             body=answer.body,
             content_type=answer.content_type,
-            seconds=asyncio.get_running_loop().time() - begun,
+            seconds=asyncio.get_running_loop().time() - started_at,
         )
--- a/sequoiaarch/sidecar/queue.py
+++ b/sequoiaarch/sidecar/queue.py
@@ -1,4 +1,4 @@
-"""Hold calls back until the target has a slot for them."""
+"""Queue of calls that wait for a slot of the target."""
 
 from __future__ import annotations
 
@@ -14,42 +14,45 @@
 from ..policies.admission import Occupancy, make_admission
 from ..policies.order import Ticket, make_order
 
-RECHECK = 0.25
-PASSED_BY_LIMIT = 2.0
-RATE_WINDOW = 20.0
-STARTS_KEPT = 256
-STARTS_NEEDED = 4
+RECHECK_INTERVAL = 0.25  # seconds
+MAX_OVERTAKEN_SECONDS = 2.0
+RATE_WINDOW = 20.0  # seconds
+MAX_RECENT_STARTS = 256
+MIN_RECENT_STARTS = 4
 
 
 @dataclass(kw_only=True, eq=False)
-class _Waiting:
-    """Hold a ticket until it is called up."""
+class _WaitingCall:
+    """A queued call and the future that resolves when it gets a slot."""
 
     ticket: Ticket
-    called: asyncio.Future[None]
+    slot_granted: asyncio.Future[None]
 
 
 class StartRate:
-    """Measure how many programs start at the target in a second."""
+    """Measures the rate at which new programs start at the target."""
 
     def __init__(self) -> None:
-        self._starts: deque[float] = deque(maxlen=STARTS_KEPT)
+        self._starts: deque[float] = deque(maxlen=MAX_RECENT_STARTS)
 
-    def note(self, now: float) -> None:
-        """Count one start."""
+    def record_start(self, now: float) -> None:
+        """Record the start of a program."""
         self._starts.append(now)
 
-    def wait_for(self, waiting: int, now: float) -> float:
-        """Return the seconds until so many programs will have started."""
+    def expected_wait(self, waiting: int, now: float) -> float:
+        """Return the seconds until `waiting` programs will have started.
+
+        Without enough recent starts to estimate a rate, this is 0.
+        """
         recent = [start for start in self._starts if start > now - RATE_WINDOW]
-        if len(recent) < STARTS_NEEDED:
+        if len(recent) < MIN_RECENT_STARTS:
             return 0.0
-        rate = len(recent) / max(now - recent[0], RECHECK)
+        rate = len(recent) / max(now - recent[0], RECHECK_INTERVAL)
         return waiting / rate
 
 
 class TargetQueue:
-    """Call up waiting calls by rank while the target has slots."""
+    """Grants the slots of the target to waiting calls in order of rank."""
 
     def __init__(
         self,
@@ -65,103 +68,110 @@
         self._policy = policy
         self._limit = limit
         self._metrics = metrics
-        self._waiting: list[_Waiting] = []
+        self._waiting: list[_WaitingCall] = []
         self._running = 0
-        self._numbers = itertools.count()
-        self._timer: asyncio.TimerHandle | None = None
+        self._arrival_numbers = itertools.count()
+        self._recheck_timer: asyncio.TimerHandle | None = None
         self._starts = StartRate()
 
     @property
     def running(self) -> int:
-        """Return the calls that hold a slot."""
+        """Return the number of calls that hold a slot."""
         return self._running
 
     @property
     def queued(self) -> int:
-        """Return the calls that wait."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
     @property
     def queued_tokens(self) -> int:
-        """Return the prompt tokens of the calls that wait."""
-        return sum(one.ticket.tokens for one in self._waiting)
+        """Return the prompt tokens of the waiting calls."""
+        return sum(call.ticket.tokens for call in self._waiting)
 
-    def refusal_of_new(self) -> Failure | None:
-        """Return why a new program should go away, if it would wait too long.
+    def new_program_refusal(self) -> Failure | None:
+        """Return an overload failure if a new program would wait too long.
 
-        New programs are refused before calls of running ones, since those
-        have work and memory in the system already.
+        New programs are refused first, as running ones have already used engine time
+        and occupy memory.
         """
-        waiting = sum(not one.ticket.started for one in self._waiting)
+        waiting = sum(not call.ticket.started for call in self._waiting)
         now = asyncio.get_running_loop().time()
-        wait = self._starts.wait_for(waiting, now)
+        wait = self._starts.expected_wait(waiting, now)
         limit = self._policy().start_wait
         if wait <= limit:
             return None
         return Failure(
             kind=ErrorKind.OVERLOADED,
-            reason=f"a new program would wait {wait:.0f} s here, over {limit:.0f} s",
+            reason=(
+                f"a new program would wait {wait:.0f} s, the limit is {limit:.0f} s"
+            ),
             retry_after=round(wait - limit + 1, 1),
         )
 
-    async def enter(self, ticket: Ticket) -> None:
-        """Wait for a slot; `leave` must follow."""
+    async def acquire_slot(self, ticket: Ticket) -> None:
+        """Wait for a slot, which must be returned with `release_slot`."""
         if len(self._waiting) >= self._limit:
             raise fail(
                 ErrorKind.OVERLOADED,
-                f"{self._limit} calls wait at the target already",
+                f"the queue of the target is full with {self._limit} calls",
             )
         loop = asyncio.get_running_loop()
-        ticket.number = next(self._numbers)
-        waiting = _Waiting(ticket=ticket, called=loop.create_future())
-        self._waiting.append(waiting)
-        self._call_up()
+        ticket.number = next(self._arrival_numbers)
+        waiting_call = _WaitingCall(ticket=ticket, slot_granted=loop.create_future())
+        self._waiting.append(waiting_call)
+        self._grant_slots()
         try:
-            await waiting.called
+            await waiting_call.slot_granted
         except asyncio.CancelledError:
-            if waiting in self._waiting:
-                self._waiting.remove(waiting)
-            elif waiting.called.done() and not waiting.called.cancelled():
-                self.leave()
+            if waiting_call in self._waiting:
+                self._waiting.remove(waiting_call)
+            elif (
+                waiting_call.slot_granted.done()
+                and not waiting_call.slot_granted.cancelled()
+            ):
+                self.release_slot()
             raise
 
-    def leave(self) -> None:
-        """Give a slot back."""
+    def release_slot(self) -> None:
+        """Return a slot."""
         self._running -= 1
-        self._call_up()
+        self._grant_slots()
 
-    def _call_up(self) -> None:
+    def _grant_slots(self) -> None:
         policy = self._policy()
         order = make_order(policy.order)
         admission = make_admission(policy.admission)
         now = asyncio.get_running_loop().time()
         self._waiting.sort(
-            key=lambda one: (order.rank(one.ticket, now), one.ticket.number)
+            key=lambda call: (order.rank(call.ticket, now), call.ticket.number)
         )
-        for waiting in list(self._waiting):
+        for waiting_call in list(self._waiting):
             if self._running >= self._slots():
                 break
-            if not admission.admits(waiting.ticket, self._occupancy(self._running)):
-                if now - waiting.ticket.arrived > PASSED_BY_LIMIT:
-                    # Smaller calls may pass one that does not fit, but not
-                    # for ever.
+            if not admission.admits(
+                waiting_call.ticket, self._occupancy(self._running)
+            ):
+                if now - waiting_call.ticket.arrived > MAX_OVERTAKEN_SECONDS:
+                    # Smaller calls may overtake a call that does not fit, but only
+                    # for a limited time.
                     break
                 continue
-            self._waiting.remove(waiting)
-            if not waiting.called.done():
+            self._waiting.remove(waiting_call)
+            if not waiting_call.slot_granted.done():
                 self._running += 1
-                if not waiting.ticket.started:
-                    self._starts.note(now)
-                waiting.called.set_result(None)
+                if not waiting_call.ticket.started:
+                    self._starts.record_start(now)
+                waiting_call.slot_granted.set_result(None)
         self._metrics.queue.set({}, len(self._waiting))
         self._metrics.running.set({}, self._running)
-        self._recheck_later()
+        self._schedule_recheck()
 
-    def _recheck_later(self) -> None:
-        """Look again later, since memory may fall free without a call ending."""
+    def _schedule_recheck(self) -> None:
+        """Check again later, as memory can become free without a call ending."""
         if not self._waiting or self._running >= self._slots():
             return
-        if self._timer is not None:
-            self._timer.cancel()
+        if self._recheck_timer is not None:
+            self._recheck_timer.cancel()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_later(RECHECK, self._call_up)
+        self._recheck_timer = loop.call_later(RECHECK_INTERVAL, self._grant_slots)
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""Put the parts of a sidecar together and answer its peers."""
+"""Assembles a sidecar from its components and serves requests of its peers."""
 
 from __future__ import annotations
 
@@ -46,19 +46,19 @@
     TraceRequest,
 )
 from .executor import Executor
-from .memory import EngineMemory
+from .prefix_cache import PrefixCacheManager
 from .queue import TargetQueue
 
 log = logbook.Logger("sidecar")
 
 ENGINE_THREADS = 64
 SERVICE_THREADS = 64
-STOP_CHECK = 0.02
-HOST_CHECK = 0.5
+STOP_POLL_INTERVAL = 0.02  # seconds
+HOST_POLL_INTERVAL = 0.5  # seconds
 
 
 class Sidecar:
-    """Stand beside one target: queue, executor, homes and shard keeper."""
+    """Queues and runs the calls of one target, hosts programs and keeps shards."""
 
     def __init__(self, *, core: Core, target: TargetName) -> None:
         self._core = core
@@ -66,10 +66,10 @@
         self._responder: Responder | None = None
         self._executor: Executor | None = None
         self._clients: list[HttpEngine | HttpService] = []
-        self._memory: EngineMemory | None = None
+        self._prefix_cache: PrefixCacheManager | None = None
         self._queue: TargetQueue | None = None
         self._runner: CallRunner | None = None
-        self._dispatched = 0
+        self._open_dispatches = 0
         self._local_programs = Homes(
             me=target,
             catalogue=core.catalogue,
@@ -79,47 +79,47 @@
             limits=core.settings.limits,
             metrics=core.metrics,
             decisions=core.decisions,
-            refuse_new=self._refuse_new,
+            refuse_new=self._new_program_refusal,
         )
         self._keeper = ShardKeeper(
             local=core.local,
             shards=core.shards,
-            mine=self._kept_shards,
+            mine=self._own_shards,
             renew_config=core.follower.renew_if_due,
             limits=core.settings.limits,
         )
 
     @property
     def local_programs(self) -> Homes:
-        """Return the programs at home here."""
+        """Return the programs whose home is this sidecar."""
         return self._local_programs
 
     @property
-    def memory(self) -> EngineMemory | None:
-        """Return the memory of the engine, if an engine stands behind."""
-        return self._memory
+    def prefix_cache(self) -> PrefixCacheManager | None:
+        """Return the prefix cache of the engine, None if the target is a service."""
+        return self._prefix_cache
 
     @property
     def ready(self) -> bool:
-        """Return whether calls can be answered."""
+        """Return whether calls are accepted."""
         return self._runner is not None and not self._local_programs.draining
 
-    def _document(self) -> TargetDocument | None:
+    def _target_document(self) -> TargetDocument | None:
         return self._core.catalogue.target(self._target)
 
     def _slots(self) -> int:
-        document = self._document()
+        document = self._target_document()
         return document.spec.slots if document else 1
 
     def _cache_tokens(self) -> int:
-        document = self._document()
+        document = self._target_document()
         return document.spec.cache_tokens if document else 0
 
     def _policy(self) -> PolicySpecification:
-        document = self._document()
+        document = self._target_document()
         return self._core.catalogue.policy_for(document.labels if document else {})
 
-    def _kept_shards(self) -> list[int]:
+    def _own_shards(self) -> list[int]:
         shards = self._core.shards
         return [
             shard
@@ -127,40 +127,40 @@
             if self._target in shards.keepers(shard)[:1]
         ]
 
-    def _refuse_new(self) -> Failure | None:
-        return self._queue.refusal_of_new() if self._queue else None
+    def _new_program_refusal(self) -> Failure | None:
+        return self._queue.new_program_refusal() if self._queue else None
 
     def _occupancy(self, running: int) -> Occupancy:
-        memory = self._memory
-        document = self._document()
+        prefix_cache = self._prefix_cache
+        document = self._target_document()
         return Occupancy(
             running=running,
             slots=self._slots(),
-            running_tokens=memory.running if memory else 0,
-            kept_tokens=memory.kept if memory else 0,
+            running_tokens=prefix_cache.running_tokens if prefix_cache else 0,
+            kept_tokens=prefix_cache.total_tokens if prefix_cache else 0,
             cache_tokens=self._cache_tokens(),
             export_tokens=document.spec.export_tokens if document else 0,
-            growth=memory.growth() if memory else 0,
+            growth=prefix_cache.expected_growth() if prefix_cache else 0,
         )
 
     def load(self) -> Load:
-        """Return the load as it is now."""
+        """Return the present load of the target."""
         queue = self._queue
-        memory = self._memory
+        prefix_cache = self._prefix_cache
         return Load(
             target=self._target,
             running=queue.running if queue else 0,
             queued=queue.queued if queue else 0,
             queued_tokens=queue.queued_tokens if queue else 0,
             slots=self._slots(),
-            cache_free=memory.free if memory else 0,
+            cache_free=prefix_cache.free_tokens if prefix_cache else 0,
             programs=len(self._local_programs.programs),
             call_seconds=self._executor.call_seconds if self._executor else 0.0,
             draining=self._local_programs.draining,
         )
 
     def bind(self) -> str:
-        """Open the socket for peers and return its address."""
+        """Bind the socket for peers and return its address."""
         settings = self._core.settings
         self._responder = Responder(
             context=self._core.context,
@@ -172,21 +172,21 @@
         return self._responder.address
 
     async def start(self) -> None:
-        """Wait for the target's document, then take work."""
+        """Wait for the configuration of the target, then start to accept work."""
         await self._core.follower.ready()
-        document = self._document()
+        document = self._target_document()
         while document is None:
             log.warning("No Target document names {} yet.", self._target)
             await asyncio.sleep(0.2)
-            document = self._document()
-        self._build(document)
+            document = self._target_document()
+        self._create_components(document)
         self._core.tasks.append(asyncio.create_task(self._keeper.run()))
         self._core.tasks.append(asyncio.create_task(self._local_programs.run()))
-        self._core.tasks.append(asyncio.create_task(self._free_left()))
-        self._core.tasks.append(asyncio.create_task(self._watch_host()))
-        log.info("Target {} takes work.", self._target)
+        self._core.tasks.append(asyncio.create_task(self._free_departed()))
+        self._core.tasks.append(asyncio.create_task(self._follow_host_state()))
+        log.info("Target {} accepts work.", self._target)
 
-    def _build(self, document: TargetDocument) -> None:
+    def _create_components(self, document: TargetDocument) -> None:
         core = self._core
         limits = core.settings.limits
         engine = None
@@ -194,7 +194,7 @@
         if document.spec.type is TargetType.ENGINE:
             engine = HttpEngine(url=document.spec.url, threads=ENGINE_THREADS)
             self._clients.append(engine)
-            self._memory = EngineMemory(
+            self._prefix_cache = PrefixCacheManager(
                 engine=engine,
                 capacity=self._cache_tokens,
                 policy=self._policy,
@@ -202,7 +202,9 @@
                 metrics=core.metrics,
                 decisions=core.decisions,
             )
-            core.tasks.append(asyncio.create_task(self._memory.run(limits.cache_check)))
+            core.tasks.append(
+                asyncio.create_task(self._prefix_cache.run(limits.cache_check))
+            )
         else:
             service = HttpService(url=document.spec.url, threads=SERVICE_THREADS)
             self._clients.append(service)
@@ -216,7 +218,7 @@
         self._executor = Executor(
             engine=engine,
             service=service,
-            memory=self._memory,
+            prefix_cache=self._prefix_cache,
             queue=self._queue,
             metrics=core.metrics,
             tracing=core.tracing,
@@ -236,24 +238,24 @@
         )
         self._runner = CallRunner(parts=parts)
 
-    async def _watch_host(self) -> None:
-        """Drain when the host list shows the own host as leaving."""
-        left = False
+    async def _follow_host_state(self) -> None:
+        """Drain while the host list shows the own host as leaving."""
+        host_leaving = False
         while True:
             leaving = self._core.membership.leaving(self._target)
-            if leaving != left:
-                left = leaving
+            if leaving != host_leaving:
+                host_leaving = leaving
                 await self._local_programs.drain(leaving)
-            await asyncio.sleep(HOST_CHECK)
+            await asyncio.sleep(HOST_POLL_INTERVAL)
 
-    async def _free_left(self) -> None:
+    async def _free_departed(self) -> None:
         while True:
             program, cause = await self._local_programs.left.get()
-            if self._memory is not None:
-                await self._memory.forget(program, cause)
+            if self._prefix_cache is not None:
+                await self._prefix_cache.free_program(program, cause)
 
     async def handle(self, request: Request, send: Send) -> Reply:
-        """Answer one request of a peer."""
+        """Handle one request of a peer."""
         match request:
             case LoadRequest():
                 return LoadReply(load=self.load())
@@ -266,8 +268,8 @@
             case HistoryRequest():
                 return await self._keeper.history(request)
             case ExplainRequest():
-                found = self._core.decisions.of(request.program)
-                return ExplainReply(decisions=found)
+                decisions = self._core.decisions.of(request.program)
+                return ExplainReply(decisions=decisions)
             case TraceRequest():
                 return TraceReply(spans=self._core.tracing.spans(request.trace_id))
             case DrainRequest():
@@ -276,45 +278,49 @@
                 )
                 return Accepted(load=self.load())
             case HandoverRequest():
-                return _accepted(await self._local_programs.hand_over(request.program))
-        return await self._handle_work(request, send)
+                return _order_reply(
+                    await self._local_programs.hand_over(request.program)
+                )
+        return await self._handle_program_request(request, send)
 
-    async def _handle_work(self, request: Request, send: Send) -> Reply:
+    async def _handle_program_request(self, request: Request, send: Send) -> Reply:
         if self._runner is None or self._executor is None:
-            return Failed(failure=_not_ready(self._target))
+            return Failed(failure=_not_ready_failure(self._target))
         match request:
             case CallRequest():
                 return await self._runner.handle(request, send)
             case DispatchRequest():
                 return await self._dispatch(request, send)
             case CreateRequest() | SpawnRequest() | EndRequest() | RecoverRequest():
-                return await self._change(request)
-        failure = Failure(kind=ErrorKind.MALFORMED, reason="not a sidecar's request")
+                return await self._handle_order(request)
+        failure = Failure(
+            kind=ErrorKind.MALFORMED, reason="a sidecar does not handle this request"
+        )
         return Failed(failure=failure)
 
     async def _dispatch(self, request: DispatchRequest, send: Send) -> Reply:
-        """Run an attempt for a home elsewhere."""
+        """Run an attempt for a program whose home is another sidecar."""
         executor = self._executor
         assert executor is not None
         if self._local_programs.draining:
             failure = Failure(
                 kind=ErrorKind.STOPPING,
-                reason=f"target {self._target} takes no new work",
+                reason=f"target {self._target} is draining",
             )
             return Failed(failure=failure, load=self.load())
-        pieces: asyncio.Queue[bytes | None] = asyncio.Queue()
+        chunks: asyncio.Queue[bytes | None] = asyncio.Queue()
 
         async def forward() -> None:
-            while (piece := await pieces.get()) is not None:
-                await send(Chunk(data=piece))
+            while (chunk := await chunks.get()) is not None:
+                await send(Chunk(data=chunk))
 
         forwarding = asyncio.create_task(forward())
-        self._dispatched += 1
+        self._open_dispatches += 1
         try:
-            result = await executor.run(request, pieces.put_nowait)
+            result = await executor.run(request, chunks.put_nowait)
         finally:
-            self._dispatched -= 1
-            pieces.put_nowait(None)
+            self._open_dispatches -= 1
+            chunks.put_nowait(None)
             await forwarding
         if isinstance(result, Failure):
             return Failed(failure=result, load=self.load())
@@ -329,46 +335,50 @@
             load=self.load(),
         )
 
-    async def _change(self, request: ProgramOrder) -> Reply:
+    async def _handle_order(self, request: ProgramOrder) -> Reply:
         try:
-            return _accepted(await self._carry_out(request))
+            return _order_reply(await self._execute_order(request))
         except FailureError as error:
             return Failed(failure=error.failure, load=self.load())
 
-    async def _carry_out(self, request: ProgramOrder) -> Failure | None:
+    async def _execute_order(self, request: ProgramOrder) -> Failure | None:
         if isinstance(request, CreateRequest):
-            opening = Opening(program=request.program, spec=request.spec, create=True)
-            await self._local_programs.open(opening)
+            open_request = Opening(
+                program=request.program, spec=request.spec, create=True
+            )
+            await self._local_programs.open(open_request)
             return None
         if isinstance(request, SpawnRequest):
-            opening = _taking_over(request.parent, request)
-            parent = await self._local_programs.open(opening)
+            open_request = _takeover_request(request.parent, request)
+            parent = await self._local_programs.open(open_request)
             return await self._local_programs.spawn(
                 parent, request.child, request.budget
             )
         if isinstance(request, RecoverRequest):
-            opening = _taking_over(request.program, request)
-            running = await self._local_programs.open(opening)
-            return await self._local_programs.recover(running, request.pending)
-        opening = _taking_over(request.program, request)
-        running = await self._local_programs.open(opening)
-        return await self._local_programs.end(running, request.reason)
+            open_request = _takeover_request(request.program, request)
+            program = await self._local_programs.open(open_request)
+            return await self._local_programs.recover(program, request.pending)
+        open_request = _takeover_request(request.program, request)
+        program = await self._local_programs.open(open_request)
+        return await self._local_programs.end(program, request.reason)
 
     async def stop(self) -> None:
-        """Leave in an orderly way: finish what runs and release programs."""
+        """Drain the sidecar: finish open calls and release its programs."""
         timeout = self._core.settings.limits.drain_timeout
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
         await self._local_programs.drain(True)
-        while loop.time() < deadline and self._busy():
-            await asyncio.sleep(STOP_CHECK)
-        if self._busy():
+        while loop.time() < deadline and self._has_open_calls():
+            await asyncio.sleep(STOP_POLL_INTERVAL)
+        if self._has_open_calls():
             log.warning("Stopping after {} s with work under way.", timeout)
 
-    def _busy(self) -> bool:
-        running = self._runner.running if self._runner else 0
-        programs = any(one.busy for one in self._local_programs.programs.values())
-        return bool(running or self._dispatched or programs)
+    def _has_open_calls(self) -> bool:
+        open_calls = self._runner.running if self._runner else 0
+        any_busy = any(
+            program.busy for program in self._local_programs.programs.values()
+        )
+        return bool(open_calls or self._open_dispatches or any_busy)
 
     def close(self) -> None:
         """Close the socket for peers and the connections to the target."""
@@ -378,8 +388,8 @@
             client.close()
 
 
-def _taking_over(program: ProgramId, request: ProgramOrder) -> Opening:
-    """Return how to open a program whose home the asker may have found silent."""
+def _takeover_request(program: ProgramId, request: ProgramOrder) -> Opening:
+    """Return the request to open a program whose home may be known as silent."""
     return Opening(
         program=program,
         spec=request.spec,
@@ -388,13 +398,13 @@
     )
 
 
-def _accepted(failure: Failure | None) -> Reply:
+def _order_reply(failure: Failure | None) -> Reply:
     return Accepted() if failure is None else Failed(failure=failure)
 
 
-def _not_ready(target: TargetName) -> Failure:
+def _not_ready_failure(target: TargetName) -> Failure:
     return Failure(
         kind=ErrorKind.STOPPING,
-        reason=f"target {target} does not take work yet",
+        reason=f"target {target} is still starting",
         not_run=NotRun.YES,
     )
