--- a/sequoiaarch/daemon/__init__.py
+++ b/sequoiaarch/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Put a daemon together from its settings."""
+"""Daemon process: assembles and runs a gateway or sidecar from its settings."""
--- a/sequoiaarch/daemon/__main__.py
+++ b/sequoiaarch/daemon/__main__.py
@@ -1,4 +1,4 @@
-"""Start the daemon from the command line."""
+"""Command line entry point of the daemon."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 EXIT_INVALID = 2
 
 
-def _load(path: Path) -> Settings:
+def _load_or_exit(path: Path) -> Settings:
     try:
         return load_settings(path)
     except InvalidDocument as error:
@@ -35,7 +35,7 @@
 @click.option("--check", is_flag=True, help="Validate the settings and exit.")
 def main(path: Path, check: bool) -> None:
     """Run the sequoiaarch daemon."""
-    settings = _load(path)
+    settings = _load_or_exit(path)
     if check:
         click.echo(f"{path}: valid, role {settings.role.value}")
         return
--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -1,4 +1,4 @@
-"""Hold what every role of a daemon needs."""
+"""Components that the gateway and the sidecar share."""
 
 from __future__ import annotations
 
@@ -28,26 +28,26 @@
 from ..wire.links import CurveKeys, Links
 from ..wire.messages import ConfigReply, ConfigRequest
 
-PEERS_ASKED = 3
-PEER_TIMEOUT = 2.0
+MAX_CONFIG_PEERS = 3
+PEER_TIMEOUT = 2.0  # seconds
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlatformServices:
-    """Hold the services of the platform."""
+    """The append log and the host list that the platform provides."""
 
     log: AppendLog
     hosts: HostList | None
     clients: tuple[HttpClient, ...] = ()
 
     def close(self) -> None:
-        """Let go of threads and connections."""
+        """Close the threads and connections of the clients."""
         for client in self.clients:
             client.close()
 
 
 def connect_platform(settings: Settings) -> PlatformServices:
-    """Return the platform's services that the settings name."""
+    """Connect to the platform services given in the settings."""
     assert settings.platform.log is not None
     clients = [HttpClient(url=settings.platform.log)]
     log = HttpLog(client=clients[0])
@@ -59,12 +59,12 @@
 
 
 def fixed_hosts(settings: Settings) -> HostList:
-    """Return a host list that names the own host only."""
+    """Return a host list that contains only the own host."""
     return MemoryHostList(hosts=[HostName(settings.host)])
 
 
 def curve_keys(settings: Settings) -> CurveKeys | None:
-    """Return the keys of the inner links, if the settings give any."""
+    """Return the CURVE keys of connections between daemons, None if not set."""
     curve = settings.inner.curve
     if curve is None:
         return None
@@ -73,7 +73,7 @@
 
 @dataclass(kw_only=True)
 class Core:
-    """Join the parts that a gateway and a sidecar both need."""
+    """Components shared by the gateway and the sidecar of one process."""
 
     settings: Settings
     context: zmq.asyncio.Context
@@ -91,17 +91,17 @@
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def start(self) -> None:
-        """Start to follow the configuration and the host list."""
+        """Start following the configuration and the host list."""
         self.tasks.append(asyncio.create_task(self.follower.run()))
         self.tasks.append(asyncio.create_task(self.membership.run()))
 
     def config_reply(self) -> ConfigReply:
-        """Return the configuration in force for a peer."""
+        """Return the current configuration for a peer."""
         snapshot = self.view.snapshot(RecordId(new_id("config")))
         return ConfigReply(snapshot=encode_config(snapshot))
 
     def close(self) -> None:
-        """Stop all tasks and links."""
+        """Cancel all tasks and close all connections."""
         for task in self.tasks:
             task.cancel()
         self.membership.close()
@@ -118,7 +118,7 @@
     context: zmq.asyncio.Context,
     platform: PlatformServices,
 ) -> Core:
-    """Return the common parts for one role."""
+    """Create the shared components; `own_target` is None for a gateway."""
     metrics = Metrics()
     links = Links(
         context=context,
@@ -131,23 +131,26 @@
         catalogue=catalogue, hosts=platform.hosts, links=links, metrics=metrics
     )
 
-    async def ask_peers() -> list[ConfigSnapshot]:
-        known = list(membership.peers().values())
-        addresses = [*settings.peers, *known][:PEERS_ASKED]
-        asked = [
+    async def fetch_peer_configs() -> list[ConfigSnapshot]:
+        member_addresses = list(membership.peers().values())
+        addresses = [*settings.peers, *member_addresses][:MAX_CONFIG_PEERS]
+        calls = [
             links.to(address).call(ConfigRequest(), timeout=PEER_TIMEOUT)
             for address in addresses
         ]
-        found = []
-        for reply in await asyncio.gather(*asked):
+        snapshots = []
+        for reply in await asyncio.gather(*calls):
             if isinstance(reply, ConfigReply):
                 record = decode_config(reply.snapshot)
                 if isinstance(record, ConfigSnapshot):
-                    found.append(record)
-        return found
+                    snapshots.append(record)
+        return snapshots
 
     follower = ConfigFollower(
-        log_service=platform.log, view=view, ask_peers=ask_peers, metrics=metrics
+        log_service=platform.log,
+        view=view,
+        ask_peers=fetch_peer_configs,
+        metrics=metrics,
     )
     local = LocalShards(
         log_service=platform.log,
--- a/sequoiaarch/daemon/run.py
+++ b/sequoiaarch/daemon/run.py
@@ -1,4 +1,4 @@
-"""Run a daemon in the role that its settings give it."""
+"""Runs a daemon in the role given in its settings."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def probe_app(core: Core, ready: Callable[[], bool]) -> WsgiApp:
-    """Return an application that answers metrics and probes only."""
+    """Return a WSGI application that serves only metrics and health probes."""
     routes = make_routes(probe_rules(core, ready))
 
     def app(
@@ -42,16 +42,16 @@
     return app
 
 
-def announce(settings: Settings, port: int, inner: str | None) -> None:
-    """Print the addresses that the kernel may have chosen."""
+def print_addresses(settings: Settings, port: int, inner_address: str | None) -> None:
+    """Print the bound addresses, as ports may be chosen by the kernel."""
     line = f"listening http://{settings.http.address}:{port}"
-    if inner is not None:
-        line += f" {inner}"
+    if inner_address is not None:
+        line += f" {inner_address}"
     print(line, flush=True)
 
 
 async def run_gateway(settings: Settings, stopped: asyncio.Event) -> None:
-    """Run a gateway until it is told to stop."""
+    """Run a gateway until `stopped` is set."""
     context = zmq.asyncio.Context()
     core = make_core(
         settings,
@@ -63,9 +63,9 @@
     core.start()
     gateway = Gateway(core=core, rng=random.Random())
     starting = asyncio.create_task(gateway.start())
-    announce(settings, gateway.port, None)
+    print_addresses(settings, gateway.port, None)
     await stopped.wait()
-    log.info("Gateway stops.")
+    log.info("Stopping the gateway.")
     starting.cancel()
     await gateway.stop()
     gateway.close()
@@ -74,7 +74,7 @@
 
 
 async def run_sidecar(settings: Settings, stopped: asyncio.Event) -> None:
-    """Run a sidecar until it is told to stop."""
+    """Run a sidecar until `stopped` is set."""
     assert settings.target is not None
     context = zmq.asyncio.Context()
     target = TargetName(settings.target)
@@ -97,9 +97,9 @@
     )
     server.start()
     starting = asyncio.create_task(sidecar.start())
-    announce(settings, server.port, address)
+    print_addresses(settings, server.port, address)
     await stopped.wait()
-    log.info("Sidecar of {} stops.", target)
+    log.info("Stopping the sidecar of {}.", target)
     starting.cancel()
     await sidecar.stop()
     server.stop()
@@ -114,8 +114,8 @@
     async def main() -> None:
         stopped = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stopped.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stopped.set)
         if settings.role is Role.GATEWAY:
             await run_gateway(settings, stopped)
         elif settings.role is Role.SIDECAR:
--- a/sequoiaarch/daemon/standalone.py
+++ b/sequoiaarch/daemon/standalone.py
@@ -1,4 +1,4 @@
-"""Run a gateway, sidecars and stand-ins in one process, for a trial."""
+"""Runs a gateway, sidecars and stand-ins in one process, for trials."""
 
 from __future__ import annotations
 
@@ -30,15 +30,15 @@
 
 
 class Standalone:
-    """Hold a whole system in one process; nothing outlives it."""
+    """A complete system in one process that keeps all data in memory."""
 
     def __init__(self, *, settings: Settings) -> None:
-        keys = settings.callers or [Caller(key=TRIAL_KEY, workspace=TRIAL_WORKSPACE)]
-        operators = settings.operator_keys or [TRIAL_OPERATOR_KEY]
+        callers = settings.callers or [Caller(key=TRIAL_KEY, workspace=TRIAL_WORKSPACE)]
+        operator_keys = settings.operator_keys or [TRIAL_OPERATOR_KEY]
         self._settings = settings.model_copy(
             update={
-                "callers": keys,
-                "operator_keys": operators,
+                "callers": callers,
+                "operator_keys": operator_keys,
                 "inner": InnerOptions(),
             }
         )
@@ -52,16 +52,16 @@
 
     @property
     def port(self) -> int:
-        """Return the port that callers reach."""
+        """Return the HTTP port of the gateway."""
         assert self._gateway is not None
         return self._gateway.port
 
     @property
     def settings(self) -> Settings:
-        """Return the settings with the keys of the trial."""
+        """Return the settings, with the default keys of the trial filled in."""
         return self._settings
 
-    def _core(self, name: str, own_target: TargetName | None) -> Core:
+    def _start_core(self, name: str, own_target: TargetName | None) -> Core:
         core = make_core(
             self._settings,
             name=name,
@@ -79,16 +79,20 @@
         self.service.start()
         addresses = {}
         for name in (TargetName("engine-1"), TargetName("tools-1")):
-            sidecar = Sidecar(core=self._core(f"sidecar {name}", name), target=name)
+            sidecar = Sidecar(
+                core=self._start_core(f"sidecar {name}", name), target=name
+            )
             addresses[name] = sidecar.bind()
             self._sidecars.append(sidecar)
-        core = self._core("gateway", None)
-        await self._publish(core, addresses)
+        core = self._start_core("gateway", None)
+        await self._publish_documents(core, addresses)
         await asyncio.gather(*(sidecar.start() for sidecar in self._sidecars))
         self._gateway = Gateway(core=core, rng=random.Random())
         await self._gateway.start()
 
-    async def _publish(self, core: Core, addresses: dict[TargetName, str]) -> None:
+    async def _publish_documents(
+        self, core: Core, addresses: dict[TargetName, str]
+    ) -> None:
         documents = trial_documents(
             self._settings,
             engine_url=self.engine.url,
@@ -109,10 +113,10 @@
         )
         verdict = await core.follower.publish(publication)
         if isinstance(verdict, Failure) or not verdict.accepted:
-            raise RuntimeError(f"the trial's configuration was refused: {verdict}")
+            raise RuntimeError(f"the trial configuration was refused: {verdict}")
 
     async def stop(self) -> None:
-        """Stop in an orderly way."""
+        """Drain and stop the gateway and the sidecars, then the stand-ins."""
         if self._gateway is not None:
             await self._gateway.stop()
             self._gateway.close()
@@ -133,8 +137,8 @@
     service_url: str,
     addresses: dict[TargetName, str],
 ) -> list[Any]:
-    """Return the documents of a trial, as an operator would write them."""
-    place = {"host": settings.host, "data_centre": settings.data_centre}
+    """Return the configuration documents of the trial."""
+    location = {"host": settings.host, "data_centre": settings.data_centre}
     workspaces = sorted({caller.workspace for caller in settings.callers})
     documents: list[Any] = [
         {
@@ -146,7 +150,7 @@
                 "model": TRIAL_MODEL,
                 "url": engine_url,
                 "address": addresses[TargetName("engine-1")],
-                **place,
+                **location,
             },
         },
         {
@@ -158,7 +162,7 @@
                 "service": "tools",
                 "url": service_url,
                 "address": addresses[TargetName("tools-1")],
-                **place,
+                **location,
             },
         },
     ]
@@ -179,9 +183,13 @@
 
 
 async def run_standalone(settings: Settings, stopped: asyncio.Event) -> None:
-    """Run a trial until it is told to stop."""
+    """Run a standalone system until `stopped` is set."""
     system = Standalone(settings=settings)
     await system.start()
-    log.info("Try it at http://{}:{}.", settings.http.address, system.port)
+    log.info(
+        "Standalone system is listening on http://{}:{}.",
+        settings.http.address,
+        system.port,
+    )
     await stopped.wait()
     await system.stop()
--- a/sequoiaarch/tests/daemon/__init__.py
+++ b/sequoiaarch/tests/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Test package daemon."""
+"""Tests of the daemon."""
--- a/sequoiaarch/tests/daemon/process_tests.py
+++ b/sequoiaarch/tests/daemon/process_tests.py
@@ -1,4 +1,4 @@
-"""Test the form in which each daemon is a process of its own."""
+"""Test deployments with one process per daemon."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def small_deployment(gateways: int = 1) -> Deployment:
-    """Return a gateway, an engine's sidecar and a service's sidecar."""
+    """Return a deployment with one engine and one service."""
     return Deployment(
         name="small",
         gateways=[
@@ -49,10 +49,10 @@
 
 
 class ExampleTests(unittest.TestCase):
-    """Check the examples that are shipped."""
+    """Test the shipped example files."""
 
     def test_settings_are_valid(self) -> None:
-        """Accept the settings of both deployments."""
+        """The settings and documents of both example deployments are valid."""
         for deployment in ("kunene", "presupuesto"):
             paths = sorted((EXAMPLES / deployment).glob("*.jsonc"))
             self.assertEqual(len(paths), 4)
@@ -65,7 +65,7 @@
 
 
 class ThreeProcessTests(unittest.TestCase):
-    """Run a gateway, two sidecars and the stand-ins as processes."""
+    """Test a gateway, two sidecars and the stand-ins, each as a process."""
 
     def setUp(self) -> None:
         """Start the processes."""
@@ -74,7 +74,7 @@
         self.fleet.start()
 
     def test_samples_and_commands(self) -> None:
-        """Run the sample programs of both deployments, and ask as an operator."""
+        """Sample programs run, and operator commands show what they did."""
         for name in ("kunene", "presupuesto"):
             script = load_script(EXAMPLES / "samples" / f"{name}.jsonc")
             script = script.model_copy(update={"model": MODEL})
@@ -95,7 +95,7 @@
         self.assertIn("accepted", self.command("config", "history"))
 
     def command(self, *arguments: str) -> str:
-        """Return what a command prints."""
+        """Run a command of the CLI and return its output."""
         url = self.fleet.gateway_urls()[0]
         result = CliRunner().invoke(
             cli, ["--url", url, "--key", OPERATOR_KEY, *arguments]
@@ -105,55 +105,56 @@
 
 
 class PlannedStopTests(unittest.TestCase):
-    """Stop each process under load; nothing may be cut off.
+    """Test that a planned stop of a process under load cuts off no answer.
 
-    Callers hold conversations while one process gets SIGTERM. What runs at
-    that moment comes to its end; what comes later is refused as not run or
-    served elsewhere. Every answer that was begun must be complete.
+    Calls that are open at SIGTERM must complete; later ones are served elsewhere or
+    refused as not run.
     """
 
-    def under_load(self, stopped: str, gateways: int) -> list[str]:
-        """Stop a process under load; return what went wrong for callers."""
+    def stop_under_load(self, stopped: str, gateways: int) -> list[str]:
+        """Send SIGTERM to a process under load; return the errors of callers."""
         fleet = Fleet(deployment=small_deployment(gateways))
         self.addCleanup(fleet.stop)
         fleet.start()
-        broken: list[str] = []
-        halfway = threading.Barrier(PROGRAMS_UNDER_LOAD + 1)
+        errors: list[str] = []
+        load_started = threading.Barrier(PROGRAMS_UNDER_LOAD + 1)
         urls = fleet.gateway_urls()
         threads = [
             threading.Thread(
-                target=talk, args=(urls, number, halfway, broken), daemon=True
+                target=hold_conversation,
+                args=(urls, number, load_started, errors),
+                daemon=True,
             )
             for number in range(PROGRAMS_UNDER_LOAD)
         ]
         for thread in threads:
             thread.start()
-        halfway.wait(60)
+        load_started.wait(60)
         fleet.processes[stopped].signal(signal.SIGTERM)
-        code = fleet.processes[stopped].wait()
+        exit_code = fleet.processes[stopped].wait()
         for thread in threads:
             thread.join(60)
-        self.assertEqual(code, 0, fleet.log_text(stopped))
+        self.assertEqual(exit_code, 0, fleet.log_text(stopped))
         self.assertNotIn("work under way", fleet.log_text(stopped))
-        return broken
+        return errors
 
-    def test_gateway(self) -> None:
-        """Stop one of two gateways."""
-        self.assertEqual(self.under_load("gateway-1", 2), [])
+    def test_stop_gateway(self) -> None:
+        """Stopping one of two gateways cuts off no answer."""
+        self.assertEqual(self.stop_under_load("gateway-1", 2), [])
 
-    def test_engine_sidecar(self) -> None:
-        """Stop the sidecar of the only engine."""
-        self.assertEqual(self.under_load("engine-1", 1), [])
+    def test_stop_engine_sidecar(self) -> None:
+        """Stopping the sidecar of the only engine cuts off no answer."""
+        self.assertEqual(self.stop_under_load("engine-1", 1), [])
 
-    def test_service_sidecar(self) -> None:
-        """Stop the sidecar of the only service."""
-        self.assertEqual(self.under_load("tools-1", 1), [])
+    def test_stop_service_sidecar(self) -> None:
+        """Stopping the sidecar of the only service cuts off no answer."""
+        self.assertEqual(self.stop_under_load("tools-1", 1), [])
 
 
-def talk(
-    urls: list[str], number: int, halfway: threading.Barrier, broken: list[str]
+def hold_conversation(
+    urls: list[str], number: int, load_started: threading.Barrier, errors: list[str]
 ) -> None:
-    """Hold a conversation and note every answer that was cut off."""
+    """Hold a conversation; append a message to `errors` for each incomplete answer."""
     messages: list[dict[str, Any]] = []
     for turn in range(TURNS):
         messages.append({"role": "user", "content": f"turn {turn}"})
@@ -164,39 +165,42 @@
             "stand_in": {"answer_tokens": 60},
         }
         if turn == 1:
-            halfway.wait(60)
-        text = one_answer(urls, number, turn, body, broken)
+            load_started.wait(60)
+        text = request_answer(urls, number, turn, body, errors)
         if text is None:
             return
         messages.append({"role": "assistant", "content": text})
         if turn == 0:
-            one_tool(urls, number, broken)
+            call_tool(urls, number, errors)
 
 
-def one_answer(
-    urls: list[str], number: int, turn: int, body: dict[str, Any], broken: list[str]
+def request_answer(
+    urls: list[str], number: int, turn: int, body: dict[str, Any], errors: list[str]
 ) -> str | None:
-    """Return one answer; a refusal that says "not run" ends the talk well."""
+    """Return one answer, or None if it failed or every gateway refused the call.
+
+    A call that was certainly not run is no error and is retried at other gateways.
+    """
     parts: list[str] = []
     headers = {"X-Program-Id": f"stop-{number}"}
-    for url in balanced(urls):
+    for url in ready_gateways(urls):
         client = Client(url=url, key=CALLER_KEY)
         try:
             for event in client.stream("/v1/chat/completions", body, headers):
                 parts.append(event["choices"][0]["delta"].get("content") or "")
         except Exception as error:
-            refused = getattr(error, "body", {}).get("not_run") is True
-            unreached = "NewConnectionError" in repr(error)
-            if not parts and (refused or unreached):
+            not_run = getattr(error, "body", {}).get("not_run") is True
+            not_connected = "NewConnectionError" in repr(error)
+            if not parts and (not_run or not_connected):
                 continue
-            broken.append(f"program {number} turn {turn}: {error!r}")
+            errors.append(f"program {number} turn {turn}: {error!r}")
             return None
         return "".join(parts)
     return None
 
 
-def balanced(urls: list[str]) -> list[str]:
-    """Return the gateways that are ready, as the platform's balancer does."""
+def ready_gateways(urls: list[str]) -> list[str]:
+    """Return the ready gateways, as the load balancer of the platform does."""
     ready = []
     for url in urls:
         try:
@@ -208,13 +212,13 @@
     return ready
 
 
-def one_tool(urls: list[str], number: int, broken: list[str]) -> None:
-    """Call a tool that may not be run twice."""
-    client = Client(url=balanced(urls)[0], key=CALLER_KEY)
+def call_tool(urls: list[str], number: int, errors: list[str]) -> None:
+    """Call a non-idempotent tool; append a message to `errors` if it fails."""
+    client = Client(url=ready_gateways(urls)[0], key=CALLER_KEY)
     headers = {"Idempotency-Key": f"stop-{number}", "X-Non-Idempotent": "true"}
     path = f"/v1/programs/stop-{number}/tools/tools/run"
     try:
         client.request("POST", path, {"delay": 0.2}, headers)
     except Exception as error:
         if getattr(error, "body", {}).get("not_run") is not True:
-            broken.append(f"program {number} tool: {error!r}")
+            errors.append(f"program {number} tool: {error!r}")
