--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -82,22 +82,22 @@
     metrics: Metrics
     tracing: Tracing
     decisions: Decisions
-    view: ConfigView
+    config_view: ConfigView
     catalogue: Catalogue
-    follower: ConfigFollower
+    config_follower: ConfigFollower
     membership: Membership
-    local: LocalShards
+    local_shards: LocalShards
     shards: Shards
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def start(self) -> None:
         """Start following the configuration and the host list."""
-        self.tasks.append(asyncio.create_task(self.follower.run()))
+        self.tasks.append(asyncio.create_task(self.config_follower.run()))
         self.tasks.append(asyncio.create_task(self.membership.run()))
 
     def config_reply(self) -> ConfigReply:
         """Return the current configuration for a peer."""
-        snapshot = self.view.snapshot(RecordId(new_id("config")))
+        snapshot = self.config_view.snapshot(RecordId(new_id("config")))
         return ConfigReply(snapshot=encode_config(snapshot))
 
     def close(self) -> None:
@@ -105,7 +105,7 @@
         for task in self.tasks:
             task.cancel()
         self.membership.close()
-        self.local.close()
+        self.local_shards.close()
         self.links.close()
         self.platform.close()
 
@@ -172,10 +172,10 @@
         metrics=metrics,
         tracing=Tracing(name=name),
         decisions=Decisions(),
-        view=view,
+        config_view=view,
         catalogue=catalogue,
-        follower=follower,
+        config_follower=follower,
         membership=membership,
-        local=local,
+        local_shards=local,
         shards=shards,
     )
--- a/sequoiaarch/daemon/standalone.py
+++ b/sequoiaarch/daemon/standalone.py
@@ -111,7 +111,7 @@
                 for document in parse_documents(documents)
             ],
         )
-        verdict = await core.follower.publish(publication)
+        verdict = await core.config_follower.publish(publication)
         if isinstance(verdict, Failure) or not verdict.accepted:
             raise RuntimeError(f"the trial configuration was refused: {verdict}")
 
--- a/sequoiaarch/gateway/gateway.py
+++ b/sequoiaarch/gateway/gateway.py
@@ -67,7 +67,7 @@
         Probes are answered meanwhile; the gateway is ready afterwards.
         """
         self._server.start()
-        await self._core.follower.ready()
+        await self._core.config_follower.ready()
         self._started = True
         log.info("Gateway is listening on port {}.", self.port)
 
--- a/sequoiaarch/gateway/operators.py
+++ b/sequoiaarch/gateway/operators.py
@@ -153,12 +153,12 @@
     def _show_status(self, request: Request) -> Response:
         membership = self._core.membership
         targets = self._core.catalogue.targets
-        streams = self._core.local.streams.values()
+        streams = self._core.local_shards.streams.values()
         return json_response(
             StatusView(
                 host=self._core.settings.host,
                 data_centre=self._core.settings.data_centre,
-                config_version=self._core.view.newest + 1,
+                config_version=self._core.config_view.newest + 1,
                 targets=len(targets),
                 targets_taking_work=sum(map(membership.takes_work, targets)),
                 open_calls=self._router.open_calls,
@@ -214,15 +214,17 @@
         return await self._target_view(target)
 
     def _show_config(self, request: Request) -> Response:
-        snapshot = self._core.view.snapshot(RecordId(""))
+        snapshot = self._core.config_view.snapshot(RecordId(""))
         return json_response(
             DocumentList(
-                version=self._core.view.newest + 1, documents=snapshot.documents
+                version=self._core.config_view.newest + 1, documents=snapshot.documents
             )
         )
 
     def _show_history(self, request: Request) -> Response:
-        return json_response(PublicationList(publications=self._core.view.history))
+        return json_response(
+            PublicationList(publications=self._core.config_view.history)
+        )
 
     def _publish_config(self, request: Request) -> Response:
         body = decode_body(read_body(request, MAX_BODY), PublishBody)
@@ -234,7 +236,9 @@
                 for change in body.changes
             ],
         )
-        verdict = self._bridge.run_coroutine(self._core.follower.publish(publication))
+        verdict = self._bridge.run_coroutine(
+            self._core.config_follower.publish(publication)
+        )
         if isinstance(verdict, Failure):
             raise FailureError(verdict)
         return json_response(verdict, 200 if verdict.accepted else 409)
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -82,10 +82,10 @@
             refuse_new=self._new_program_refusal,
         )
         self._keeper = ShardKeeper(
-            local=core.local,
+            local=core.local_shards,
             shards=core.shards,
             mine=self._own_shards,
-            renew_config=core.follower.renew_if_due,
+            renew_config=core.config_follower.renew_if_due,
             limits=core.settings.limits,
         )
 
@@ -173,7 +173,7 @@
 
     async def start(self) -> None:
         """Wait for the configuration of the target, then start to accept work."""
-        await self._core.follower.ready()
+        await self._core.config_follower.ready()
         document = self._target_document()
         while document is None:
             log.warning("No Target document names {} yet.", self._target)
--- a/sequoiaarch/tests/faults/scenario.py
+++ b/sequoiaarch/tests/faults/scenario.py
@@ -610,7 +610,7 @@
 
     def check_configuration(self) -> None:
         """Check that all processes agree and none went back."""
-        views = [node.core.view for node in self.system.nodes.values()]
+        views = [node.core.config_view for node in self.system.nodes.values()]
         newest = max(self._published, *(view.newest for view in views))
         for node in self.system.nodes.values():
             wait_until(
@@ -620,7 +620,7 @@
 
     def has_version(self, node: Node, newest: int) -> bool:
         """Return whether a process has come to a publication."""
-        return node.core.view.newest >= newest
+        return node.core.config_view.newest >= newest
 
 
 def later(seconds: float, work: Callable[[], None]) -> None:
