--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -73,7 +73,7 @@
 
 @dataclass(kw_only=True)
 class Core:
-    """Components shared by the gateway and the sidecar of one process."""
+    """Components that every gateway and sidecar needs."""
 
     settings: Settings
     context: zmq.asyncio.Context
--- a/sequoiaarch/gateway/router.py
+++ b/sequoiaarch/gateway/router.py
@@ -111,7 +111,7 @@
     async def run(self, call: CallRequest, emit: Emit, *, may_exist: bool) -> None:
         """Relay a call and emit its events, the last of which is Done or a Failure.
 
-        The log is asked for the home only if the program `may_exist` already.
+        The home is looked up in the log only if the program `may_exist` already.
         """
         self._open_calls += 1
         try:
