--- a/sequoiaarch/home/dispatcher.py
+++ b/sequoiaarch/home/dispatcher.py
@@ -5,7 +5,7 @@
 from ..engines.interfaces import Emit
 from ..errors import ErrorKind, Failure
 from ..ids import TargetName
-from ..sidecar.executor import Execution
+from ..sidecar.executor import AttemptResult
 from ..wire.messages import Chunk, DispatchRequest, Executed, Failed
 from .context import HomeContext
 
@@ -16,7 +16,9 @@
     def __init__(self, *, context: HomeContext) -> None:
         self._context = context
 
-    async def run(self, dispatch: DispatchRequest, emit: Emit) -> Execution | Failure:
+    async def run(
+        self, dispatch: DispatchRequest, emit: Emit
+    ) -> AttemptResult | Failure:
         """Run an attempt at its target and emit the payloads of its answer."""
         if dispatch.target == self._context.own_target:
             return await self._context.executor.run(dispatch, emit)
@@ -32,7 +34,7 @@
                 emit(reply.data)
             elif isinstance(reply, Executed):
                 self._context.membership.note_load(reply.load)
-                return Execution(
+                return AttemptResult(
                     status=reply.status,
                     body=reply.body,
                     content_type=reply.content_type,
--- a/sequoiaarch/home/model_calls.py
+++ b/sequoiaarch/home/model_calls.py
@@ -7,7 +7,7 @@
 from ..errors import ErrorKind, Failure, FailureError, fail
 from ..ids import AttemptId, RecordId, TargetName, new_id
 from ..records.types import CallAnswer, Commit
-from ..sidecar.executor import Execution
+from ..sidecar.executor import AttemptResult
 from ..wire.messages import CallKind, DispatchRequest
 from .chat import (
     AnswerBuilder,
@@ -84,7 +84,7 @@
         builder: AnswerBuilder,
         target: TargetName,
         token_limit: int,
-    ) -> Execution:
+    ) -> AttemptResult:
         running = job.running
         policy = self._context.local_programs.policy(running.state.spec)
         dispatch = DispatchRequest(
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -14,7 +14,7 @@
     Outcome,
     Withdraw,
 )
-from ..sidecar.executor import Execution
+from ..sidecar.executor import AttemptResult
 from ..wire.messages import CallKind, CallRequest, DispatchRequest
 from .answers import error_answer
 from .context import CallJob, HomeContext
@@ -32,7 +32,7 @@
         self._context = context
         self._dispatcher = dispatcher
 
-    async def run(self, job: CallJob) -> Execution | Failure:
+    async def run(self, job: CallJob) -> AttemptResult | Failure:
         """Run one call; a returned failure is committed as its result."""
         policy = self._context.local_programs.policy(job.running.state.spec)
         if job.request.non_idempotent:
@@ -41,7 +41,7 @@
 
     async def _run_idempotent(
         self, job: CallJob, policy: PolicySpecification
-    ) -> Execution | Failure:
+    ) -> AttemptResult | Failure:
         tried: list[TargetName] = []
         failure = Failure(
             kind=ErrorKind.NO_TARGET,
@@ -56,7 +56,7 @@
                 job, policy, target, AttemptId(new_id("attempt"))
             )
             result = await self._dispatcher.run(dispatch, _discard_event)
-            if isinstance(result, Execution):
+            if isinstance(result, AttemptResult):
                 return result
             failure = result
             if failure.kind is ErrorKind.DEADLINE_EXCEEDED:
@@ -67,7 +67,7 @@
 
     async def _run_non_idempotent(
         self, job: CallJob, policy: PolicySpecification
-    ) -> Execution | Failure:
+    ) -> AttemptResult | Failure:
         """Write an intent to the log, then dispatch the call at most once.
 
         If the executor reports that the call was not run, the intent is withdrawn and
@@ -87,7 +87,7 @@
                 job, policy, intent.executor, intent.attempt
             )
             result = await self._dispatcher.run(dispatch, _discard_event)
-            if isinstance(result, Execution):
+            if isinstance(result, AttemptResult):
                 return result
             if result.run_state is not NotRun.YES:
                 # The request may have been sent, so it is not safe to retry.
@@ -211,13 +211,13 @@
             weight=policy.priority,
         )
 
-    def commit(self, job: CallJob, result: Execution | Failure) -> Commit:
+    def commit(self, job: CallJob, result: AttemptResult | Failure) -> Commit:
         """Return the commit with the result of a call."""
         running = job.running
         call = job.call
         request = job.request
         assert call.seq is not None
-        if isinstance(result, Execution):
+        if isinstance(result, AttemptResult):
             answer = CallAnswer(
                 status=result.status,
                 body=result.body,
@@ -227,7 +227,7 @@
             answer = error_answer(result)
         intent = running.intent(request.key) if request.key is not None else None
         intent_open = intent is not None and intent.outcome is Outcome.OPEN
-        outcome = Outcome.DONE if isinstance(result, Execution) else Outcome.UNKNOWN
+        outcome = Outcome.DONE if isinstance(result, AttemptResult) else Outcome.UNKNOWN
         return Commit(
             id=RecordId(new_id("commit")),
             program=running.id,
