--- a/sequoiaarch/tests/platform/site.py
+++ b/sequoiaarch/tests/platform/deployment.py
@@ -156,7 +156,7 @@
 Behaviour = Callable[[TargetExchange], Awaitable[None]]
 
 
-class SiteTestCase(unittest.IsolatedAsyncioTestCase):
+class DeploymentTestCase(unittest.IsolatedAsyncioTestCase):
     """Run a site for each test."""
 
     async def asyncSetUp(self) -> None:
--- a/sequoiaarch/tests/platform/foreign_tests.py
+++ b/sequoiaarch/tests/platform/foreign_tests.py
@@ -21,7 +21,7 @@
 from ...routing.targets import Targets
 from ...storage.calls import StoreCall, StoreReply
 from ...storage.keyed import KeyedRecord, Partition
-from .site import TOOLS, SiteTestCase, registration, tool_answer
+from .deployment import TOOLS, DeploymentTestCase, registration, tool_answer
 
 PARTITION = Partition(topic="keyed.servers", number=0)
 GOOD = registration("engines", "10.1.2.3:8080")
@@ -186,7 +186,7 @@
         self.assertEqual(page.next, 1)
 
 
-class ForeignEntryTests(SiteTestCase):
+class ForeignEntryTests(DeploymentTestCase):
     """Serve beside entries of another writer, as a change and in a list."""
 
     async def foreign(self, key: str, value: bytes) -> None:
--- a/sequoiaarch/tests/platform/keys_tests.py
+++ b/sequoiaarch/tests/platform/keys_tests.py
@@ -12,12 +12,12 @@
 from ...observe.events import EventLog
 from ...platform.documents import decode_routes
 from ...standins.target import TargetExchange
-from .site import (
+from .deployment import (
     ENGINES,
     ROUTES,
     TOOLS,
     Answer,
-    SiteTestCase,
+    DeploymentTestCase,
     config,
     route,
     stream_answer,
@@ -31,7 +31,7 @@
 PUBLIC = route("/public/", "safe", TOOLS, public=True)
 
 
-class KeysTests(SiteTestCase):
+class KeysTests(DeploymentTestCase):
     """Call routes of a configuration with workspaces."""
 
     async def asyncSetUp(self) -> None:
@@ -219,7 +219,7 @@
                 await asyncio.sleep(0.01)
 
 
-class TenantDocumentTests(SiteTestCase):
+class TenantDocumentTests(DeploymentTestCase):
     """Decode workspaces as the operator writes them."""
 
     async def test_unusable_limits(self) -> None:
--- a/sequoiaarch/tests/platform/outage_tests.py
+++ b/sequoiaarch/tests/platform/outage_tests.py
@@ -12,11 +12,11 @@
 from ...fleet.peers import Peers
 from ...ids import DataCentre, HostName
 from ...ingress.daemon import IngressDaemon
-from .site import (
+from .deployment import (
     ENGINES,
     LOOPBACK,
     Answer,
-    SiteTestCase,
+    DeploymentTestCase,
     longest_answer,
     stream_answer,
 )
@@ -25,7 +25,7 @@
 BUDGET = 1000
 
 
-class OutageTests(SiteTestCase):
+class OutageTests(DeploymentTestCase):
     """Run one gateway that has claimed all slots."""
 
     async def asyncSetUp(self) -> None:
--- a/sequoiaarch/tests/platform/path_tests.py
+++ b/sequoiaarch/tests/platform/path_tests.py
@@ -10,12 +10,12 @@
 from ...ledger.turns import LocalTurn
 from ...policies.retries import RETRY_BURST, RETRY_RATIO
 from ...standins.target import TargetExchange, chunk, stream_head, whole_answer
-from .site import (
+from .deployment import (
     ENGINES,
     EVENT_TOKENS,
     ROUTES,
     TOOLS,
-    SiteTestCase,
+    DeploymentTestCase,
     attempt_of,
     config,
     events_of,
@@ -27,7 +27,7 @@
 )
 
 
-class PlainTests(SiteTestCase):
+class PlainTests(DeploymentTestCase):
     """Test calls of plain services."""
 
     async def test_both_kinds(self) -> None:
@@ -195,7 +195,7 @@
         self.assertEqual(target.exchanges, [])
 
 
-class TurnTests(SiteTestCase):
+class TurnTests(DeploymentTestCase):
     """Test turns of programs."""
 
     async def test_chain_over_two_daemons(self) -> None:
--- a/sequoiaarch/tests/platform/quotas_tests.py
+++ b/sequoiaarch/tests/platform/quotas_tests.py
@@ -7,12 +7,12 @@
 
 from ...standins.target import TargetExchange
 from ...workspaces.sliding_window import QuotaBounds
-from .site import (
+from .deployment import (
     ENGINES,
     ROUTES,
     TOOLS,
     Answer,
-    SiteTestCase,
+    DeploymentTestCase,
     config,
     not_run,
     stream_answer,
@@ -31,7 +31,7 @@
 ]
 
 
-class QuotasTests(SiteTestCase):
+class QuotasTests(DeploymentTestCase):
     """Send more than a limit through one gateway."""
 
     async def asyncSetUp(self) -> None:
--- a/sequoiaarch/tests/platform/settings_tests.py
+++ b/sequoiaarch/tests/platform/settings_tests.py
@@ -13,7 +13,7 @@
 
 from ...ingress.options import IngressOptions
 from ...platform.settings import read_settings
-from .site import ENGINES, TOOLS, SiteTestCase, stream_answer, tool_answer
+from .deployment import ENGINES, TOOLS, DeploymentTestCase, stream_answer, tool_answer
 
 SETTINGS = """
 nodeName = "edge-1"
@@ -103,7 +103,7 @@
         self.assertEqual(done.returncode, EXIT_INVALID, done.stderr)
 
 
-class SignalTests(SiteTestCase):
+class SignalTests(DeploymentTestCase):
     """Send signals to a running daemon."""
 
     async def test_reload(self) -> None:
--- a/sequoiaarch/tests/platform/soak/__init__.py
+++ b/sequoiaarch/tests/platform/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Run gateways as processes while faults come from outside them."""
+"""Soak test: run gateway processes and callers under injected faults."""
--- a/sequoiaarch/tests/platform/soak/__main__.py
+++ b/sequoiaarch/tests/platform/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Run seeds of the soak by hand."""
+"""Run seeds of the soak from the command line."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from .gateways import MODULE
 from .run import Plan, run_seed
 
-# Seeds that once broke a promise, with the cause. A seed fixes the schedule, not
-# the order in which processes run, so each is a chance and no proof.
+# Seeds that once violated a property, with the cause. A seed determines the faults but
+# not the scheduling of processes, so a run may not reproduce the violation.
 REGRESSIONS = {
     9: "a gateway's port was taken by another soak",
-    120: "a late view of grants counted others too low: over the budget",
-    144: "the same",
-    145: "the same",
-    301: "parts of lost lenders counted as spent: refused with an eighth used",
-    812: "room that was returned while a grant was judged: told that all is spent",
+    120: "over budget: an outdated view missed grants to other gateways",
+    144: "as seed 120",
+    145: "as seed 120",
+    301: "refused below the budget: loans of killed lenders counted as used",
+    812: "refused below the budget: tokens were released during the check",
 }
 
 
@@ -57,14 +57,14 @@
             gateways=gateways,
             module=module,
         )
-        where = folder / f"seed-{number}"
-        shutil.rmtree(where, ignore_errors=True)
-        report = run_seed(plan, where.resolve())
+        seed_folder = folder / f"seed-{number}"
+        shutil.rmtree(seed_folder, ignore_errors=True)
+        report = run_seed(plan, seed_folder.resolve())
         click.echo(msgspec.json.encode(report).decode())
         if report.broken:
             failed += 1
         else:
-            shutil.rmtree(where, ignore_errors=True)
+            shutil.rmtree(seed_folder, ignore_errors=True)
     sys.exit(1 if failed else 0)
 
 
--- a/sequoiaarch/tests/platform/soak/callers.py
+++ b/sequoiaarch/tests/platform/soak/callers.py
@@ -1,4 +1,4 @@
-"""Run programs as callers do, and check what they get."""
+"""Run programs against the gateways and check the answers."""
 
 from __future__ import annotations
 
@@ -8,205 +8,231 @@
 
 from ....http1.client import ClientConnection, connect
 from ....http1.messages import ExchangeError, RequestMessage
-from ..site import EVENT_TOKENS, HOST, events_of
+from ..deployment import EVENT_TOKENS, HOST, events_of
 from .gateways import Gateway
+from .property_checker import (
+    NOT_RUN_STATUSES,
+    UNLIMITED_KEY,
+    Property,
+    PropertyChecker,
+    SentRequest,
+)
 from .proxy import LOOPBACK
-from .tally import NOT_RUN_STATUSES, OPEN_KEY, Promise, Sent, Tally
-from .targets import MOST_TOKENS, event_count
+from .targets import MAX_TOKENS, event_count
 
 DEADLINE = 3.0
 CONNECT_SECONDS = 1.0
-# Beyond the deadline a gateway owes an answer that it has begun; a caller that
-# waits longer has lost its connection. Seconds.
-PATIENCE = DEADLINE + 2.0
-TRIES = 6
-TRY_PAUSE = 0.25
-MOST_PAUSE = 1.0
+# Seconds. A gateway may finish an answer that it has begun after the deadline; past
+# this time the connection counts as lost.
+ANSWER_TIMEOUT = DEADLINE + 2.0
+MAX_ATTEMPTS = 6
+RETRY_DELAY = 0.25
+MAX_RETRY_DELAY = 1.0
 BUDGET_TURNS = 8
 OK = 200
-BUDGET_SPENT = 402
+BUDGET_EXHAUSTED = 402
 UNKNOWN_TURN = 404
 
 
 @dataclass(kw_only=True)
 class Answer:
-    """Hold what came back; status 0 where nothing did."""
+    """Answer to one attempt; the status is 0 if none arrived."""
 
     attempt: str
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     sent: bool = False
 
     @property
     def served(self) -> bool:
-        """Return whether the answer is a whole success."""
-        return self.whole and self.status == OK
+        """Return whether the answer is successful and complete."""
+        return self.complete and self.status == OK
 
 
 @dataclass(kw_only=True)
-class Line:
-    """Hold a program and the turn that its next one continues."""
+class Conversation:
+    """Prompt and token counts of a program, and the turn that its next continues."""
 
     program: str
     budget: int
-    kept: bool
+    retained: bool
     previous: str | None = None
     prompt: bytes = b""
     tokens: int = 0
-    # The tokens that count as spent: a turn that broke counts at its most.
+    # Like `tokens`, but a turn without a complete answer counts with its maximum.
     counted: int = 0
 
 
 class Caller:
-    """Send requests of programs to gateways drawn by lot."""
+    """Runs programs, each request through a random gateway."""
 
     def __init__(
         self,
         *,
         name: str,
         gateways: list[Gateway],
-        tally: Tally,
+        checker: PropertyChecker,
         rng: random.Random,
         deadline: float = DEADLINE,
     ) -> None:
-        self.lines: list[Line] = []
+        self.conversations: list[Conversation] = []
         self._deadline = deadline
         self._name = name
         self._gateways = gateways
-        self._tally = tally
+        self._checker = checker
         self._rng = rng
         self._count = 0
 
     async def run(self, until: float) -> None:
-        """Run one program after the other until a time of the loop."""
+        """Run programs one after the other until the loop time `until`."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
             await self.program(until)
 
     async def program(self, until: float) -> None:
-        """Run turns, branches and tools of one program."""
+        """Run the turns, sub-agent turns and service calls of one program."""
         self._count += 1
-        line = Line(
+        conversation = Conversation(
             program=f"{self._name}-p{self._count}",
-            budget=BUDGET_TURNS * MOST_TOKENS,
-            kept=self._rng.random() < 0.7,
+            budget=BUDGET_TURNS * MAX_TOKENS,
+            retained=self._rng.random() < 0.7,
         )
-        self.lines.append(line)
+        self.conversations.append(conversation)
         for _ in range(self._rng.randint(2, 12)):
             if asyncio.get_running_loop().time() > until:
                 return
-            if not await self.turn(line):
+            if not await self.turn(conversation):
                 return
             if self._rng.random() < 0.2:
-                await asyncio.gather(self.branch(line), self.branch(line))
+                await asyncio.gather(
+                    self.branch(conversation), self.branch(conversation)
+                )
             if self._rng.random() < 0.6:
                 await self.tool(self._rng.choice(("/safe/", "/once/")))
-        self._tally.counts["programs"] += 1
-
-    async def branch(self, line: Line) -> None:
-        """Run a turn of a sub-agent from where its parent stands."""
-        branch = Line(
-            program=line.program,
-            budget=line.budget,
-            kept=line.kept,
-            previous=line.previous,
-            prompt=line.prompt,
+        self._checker.counts["programs"] += 1
+
+    async def branch(self, conversation: Conversation) -> None:
+        """Run one turn of a sub-agent that continues its parent's last turn."""
+        branch = Conversation(
+            program=conversation.program,
+            budget=conversation.budget,
+            retained=conversation.retained,
+            previous=conversation.previous,
+            prompt=conversation.prompt,
         )
-        await self.turn(branch, shared=line)
+        await self.turn(branch, charged=conversation)
 
-    async def turn(self, line: Line, *, shared: Line | None = None) -> bool:
-        """Run a turn, trying again as callers do; return whether it was served."""
-        for number in range(TRIES):
-            answer = await self._turn_once(line, shared or line)
+    async def turn(
+        self, conversation: Conversation, *, charged: Conversation | None = None
+    ) -> bool:
+        """Run a turn with retries and return whether it was served.
+
+        Its tokens count towards `charged`, the parent of a sub-agent.
+        """
+        for retries in range(MAX_ATTEMPTS):
+            answer = await self._turn_once(conversation, charged or conversation)
             if answer.served:
-                self._tally.counts["turns"] += 1
+                self._checker.counts["turns"] += 1
                 return True
-            if answer.status in (BUDGET_SPENT, UNKNOWN_TURN):
+            if answer.status in (BUDGET_EXHAUSTED, UNKNOWN_TURN):
                 return False
-            await asyncio.sleep(self._pause(answer, number))
+            await asyncio.sleep(self._retry_delay(answer, retries))
         return False
 
     async def tool(self, path: str) -> Answer:
-        """Call a service, and again where the answer allows it."""
+        """Call a service, with retries where the request has not run or is safe."""
         answer = Answer(attempt="")
-        for number in range(TRIES):
+        for retries in range(MAX_ATTEMPTS):
             attempt = self._fresh_id()
             if path == "/safe/":
-                self._tally.repeatable.add(attempt)
+                self._checker.idempotent.add(attempt)
             gateway = self._rng.choice(self._gateways)
             answer = await self._send(gateway, path + "x", attempt, b"", {})
             self._check_tool(answer)
-            promised = answer.status in NOT_RUN_STATUSES
-            if answer.served or not (promised or path == "/safe/"):
+            not_run = answer.status in NOT_RUN_STATUSES
+            if answer.served or not (not_run or path == "/safe/"):
                 break
-            await asyncio.sleep(self._pause(answer, number))
+            await asyncio.sleep(self._retry_delay(answer, retries))
         return answer
 
-    def _pause(self, answer: Answer, number: int) -> float:
-        told = float(answer.headers.get("retry-after", TRY_PAUSE))
-        return min(told, MOST_PAUSE) * self._rng.uniform(1.0, 1.2 + number / 4)
+    def _retry_delay(self, answer: Answer, retries: int) -> float:
+        retry_after = float(answer.headers.get("retry-after", RETRY_DELAY))
+        return min(retry_after, MAX_RETRY_DELAY) * self._rng.uniform(
+            1.0, 1.2 + retries / 4
+        )
 
     def _fresh_id(self) -> str:
         return f"{self._rng.getrandbits(64):016x}"
 
-    async def _turn_once(self, line: Line, paying: Line) -> Answer:
+    async def _turn_once(
+        self, conversation: Conversation, charged: Conversation
+    ) -> Answer:
         attempt = self._fresh_id()
-        given = f"[{attempt}]".encode()
+        new_input = f"[{attempt}]".encode()
         headers = {
-            "X-Program-Id": line.program,
-            "X-Token-Budget": str(line.budget),
-            "X-Token-Usage": f"10,{MOST_TOKENS}",
+            "X-Program-Id": conversation.program,
+            "X-Token-Budget": str(conversation.budget),
+            "X-Token-Usage": f"10,{MAX_TOKENS}",
             "X-Deadline-Ms": str(int(self._deadline * 1000)),
         }
-        prompt = given
-        if line.kept:
-            prompt = line.prompt + given
-            if line.previous:
-                headers["X-Previous-Turn"] = line.previous
+        prompt = new_input
+        if conversation.retained:
+            prompt = conversation.prompt + new_input
+            if conversation.previous:
+                headers["X-Previous-Turn"] = conversation.previous
         else:
-            self._tally.repeatable.add(attempt)
-        self._tally.prompts[attempt] = prompt
-        path = "/kept/a" if line.kept else "/free/a"
+            self._checker.idempotent.add(attempt)
+        self._checker.prompts[attempt] = prompt
+        path = "/kept/a" if conversation.retained else "/free/a"
         gateway = self._rng.choice(self._gateways)
-        answer = await self._send(gateway, path, attempt, given, headers)
-        self._check_turn(answer, line, paying)
-        if answer.served and line.kept:
-            line.previous = attempt
-            data = b"".join(
+        answer = await self._send(gateway, path, attempt, new_input, headers)
+        self._check_turn(answer, conversation, charged)
+        if answer.served and conversation.retained:
+            conversation.previous = attempt
+            answer_text = b"".join(
                 f"{attempt}-{one}\n".encode()
                 for one in range(1, event_count(attempt) + 1)
             )
-            line.prompt = prompt + data
+            conversation.prompt = prompt + answer_text
         return answer
 
-    def _check_turn(self, answer: Answer, line: Line, paying: Line) -> None:
+    def _check_turn(
+        self, answer: Answer, conversation: Conversation, charged: Conversation
+    ) -> None:
         attempt = answer.attempt
         tokens = answer.body.count(b"data:") * EVENT_TOKENS
-        paying.tokens += tokens
-        if answer.status == BUDGET_SPENT:
-            early = paying.counted + MOST_TOKENS <= paying.budget
-            self._tally.counts["budget refused early"] += early
+        charged.tokens += tokens
+        if answer.status == BUDGET_EXHAUSTED:
+            early = charged.counted + MAX_TOKENS <= charged.budget
+            self._checker.counts["budget refused early"] += early
         elif answer.status not in NOT_RUN_STATUSES:
-            paying.counted += tokens if answer.whole else MOST_TOKENS
-        if paying.tokens > paying.budget + MOST_TOKENS:
-            text = f"{line.program} got {paying.tokens} of {paying.budget}"
-            self._tally.violate(Promise.BUDGET, text)
-        wanted = b"".join(events_of(attempt, event_count(attempt)))
-        if answer.served and answer.body != wanted:
-            self._tally.violate(Promise.WHOLE, f"{attempt} got {answer.body!r}")
-        if answer.status == OK and not wanted.startswith(answer.body):
-            self._tally.violate(Promise.WHOLE, f"{attempt} began {answer.body!r}")
+            charged.counted += tokens if answer.complete else MAX_TOKENS
+        if charged.tokens > charged.budget + MAX_TOKENS:
+            text = f"{conversation.program} got {charged.tokens} of {charged.budget}"
+            self._checker.report_violation(Property.BUDGET, text)
+        expected = b"".join(events_of(attempt, event_count(attempt)))
+        if answer.served and answer.body != expected:
+            self._checker.report_violation(
+                Property.WHOLE, f"{attempt} got {answer.body!r}"
+            )
+        if answer.status == OK and not expected.startswith(answer.body):
+            self._checker.report_violation(
+                Property.WHOLE, f"{attempt} got the beginning {answer.body!r}"
+            )
         if answer.status == UNKNOWN_TURN:
-            text = f"{attempt} of {line.program}: {line.previous} is not known"
-            self._tally.violate(Promise.HISTORY, text)
+            text = (
+                f"{attempt} of {conversation.program}: "
+                f"{conversation.previous} is not known"
+            )
+            self._checker.report_violation(Property.HISTORY, text)
 
     def _check_tool(self, answer: Answer) -> None:
-        wanted = f"done {answer.attempt}".encode()
-        if answer.served and answer.body != wanted:
+        expected = f"done {answer.attempt}".encode()
+        if answer.served and answer.body != expected:
             text = f"{answer.attempt} got {answer.body[:80]!r}"
-            self._tally.violate(Promise.WHOLE, text)
+            self._checker.report_violation(Property.WHOLE, text)
 
     async def _send(
         self,
@@ -216,35 +242,37 @@
         body: bytes,
         headers: dict[str, str],
     ) -> Answer:
-        address = (LOOPBACK, gateway.callers.port)
+        address = (LOOPBACK, gateway.caller_proxy.port)
         try:
-            link = await connect(address, timeout=CONNECT_SECONDS)
+            connection = await connect(address, timeout=CONNECT_SECONDS)
         except ExchangeError:
             return Answer(attempt=attempt)
         try:
-            return await exchange(link, path, attempt, body, headers, self._tally)
+            return await exchange(
+                connection, path, attempt, body, headers, self._checker
+            )
         finally:
-            link.abort()
+            connection.abort()
 
 
 async def exchange(
-    link: ClientConnection,
+    connection: ClientConnection,
     path: str,
     attempt: str,
     body: bytes,
     headers: dict[str, str],
-    tally: Tally,
+    checker: PropertyChecker,
 ) -> Answer:
-    """Send one request on a connection and return what came."""
+    """Send one request on a connection and return its answer."""
     sent = {
         "Host": HOST,
         "X-Attempt-Id": attempt,
         "X-Deadline-Ms": str(int(DEADLINE * 1000)),
-        "Api-Key": OPEN_KEY,
+        "Api-Key": UNLIMITED_KEY,
         **headers,
     }
     now = asyncio.get_running_loop().time()
-    tally.sent[attempt] = Sent(key=sent["Api-Key"], at=now)
+    checker.sent_requests[attempt] = SentRequest(key=sent["Api-Key"], at=now)
     message = RequestMessage(
         method=b"POST",
         target=path.encode(),
@@ -253,78 +281,84 @@
     )
     answer = Answer(attempt=attempt)
     try:
-        async with asyncio.timeout(PATIENCE):
-            await link.send(message)
+        async with asyncio.timeout(ANSWER_TIMEOUT):
+            await connection.send(message)
             answer.sent = True
-            head = await link.read_head()
+            head = await connection.read_head()
             answer.status = head.status
             answer.headers = {
                 name.decode().lower(): value.decode() for name, value in head.headers
             }
-            while (part := await link.read_body_part()) is not None:
+            while (part := await connection.read_body_part()) is not None:
                 answer.body += part
-            answer.whole = True
+            answer.complete = True
     except (ExchangeError, TimeoutError):
-        tally.counts["cut"] += 1
-    tally.answered(attempt, answer.status)
+        checker.counts["cut"] += 1
+    checker.record_status(attempt, answer.status)
     return answer
 
 
-class KeptCaller:
-    """Send requests on one connection for as long as its gateway keeps it.
+class KeepAliveCaller:
+    """Sends requests on one connection for as long as the gateway keeps it open.
 
-    It also asks for the newest route that its gateway has shown.
+    It calls routes of random configuration versions, and reports a gateway that no
+    longer knows a route that it has served.
     """
 
-    def __init__(self, *, gateway: Gateway, tally: Tally, rng: random.Random) -> None:
+    def __init__(
+        self, *, gateway: Gateway, checker: PropertyChecker, rng: random.Random
+    ) -> None:
         self._gateway = gateway
-        self._tally = tally
+        self._checker = checker
         self._rng = rng
-        self._shown: dict[int, int] = {}
-        self.newest = 0
+        self._seen_versions: dict[int, int] = {}
+        self.newest_version = 0
 
     async def run(self, until: float) -> None:
-        """Open connections and use them until a time of the loop."""
+        """Open connections and use them until the loop time `until`."""
         while asyncio.get_running_loop().time() < until:
-            address = (LOOPBACK, self._gateway.callers.port)
+            address = (LOOPBACK, self._gateway.caller_proxy.port)
             try:
-                link = await connect(address, timeout=CONNECT_SECONDS)
+                connection = await connect(address, timeout=CONNECT_SECONDS)
             except ExchangeError:
-                await asyncio.sleep(TRY_PAUSE)
+                await asyncio.sleep(RETRY_DELAY)
                 continue
             try:
-                await self._use(link, until)
+                await self._use(connection, until)
             finally:
-                link.abort()
+                connection.abort()
 
-    async def _use(self, link: ClientConnection, until: float) -> None:
+    async def _use(self, connection: ClientConnection, until: float) -> None:
         while asyncio.get_running_loop().time() < until:
             attempt = f"{self._rng.getrandbits(64):016x}"
-            self._tally.repeatable.add(attempt)
-            life = self._gateway.life
-            # The first version has none of the routes that later ones add.
-            asked = self._rng.randint(1, max(1, self.newest))
-            path = f"/added-{asked}/x" if asked > 1 else "/safe/x"
-            quiet = self._gateway.quiet_since
-            answer = await exchange(link, path, attempt, b"", {}, self._tally)
-            same = life == self._gateway.life
-            if same:
-                self._check_route(asked, life, answer)
-            if not answer.whole:
-                undisturbed = same and quiet == self._gateway.quiet_since
-                if answer.sent and undisturbed and attempt in self._tally.runs:
-                    text = f"{attempt} ran and {self._gateway.name} cut it"
-                    self._tally.violate(Promise.STOP, text)
-                await asyncio.sleep(TRY_PAUSE)
+            self._checker.idempotent.add(attempt)
+            generation = self._gateway.generation
+            # Every configuration version after the first adds a route.
+            version = self._rng.randint(1, max(1, self.newest_version))
+            path = f"/added-{version}/x" if version > 1 else "/safe/x"
+            last_fault = self._gateway.disturbed_at
+            answer = await exchange(connection, path, attempt, b"", {}, self._checker)
+            same_process = generation == self._gateway.generation
+            if same_process:
+                self._check_route(version, generation, answer)
+            if not answer.complete:
+                undisturbed = same_process and last_fault == self._gateway.disturbed_at
+                if answer.sent and undisturbed and attempt in self._checker.runs:
+                    text = f"{attempt} ran and {self._gateway.name} cut its answer off"
+                    self._checker.report_violation(Property.STOP, text)
+                await asyncio.sleep(RETRY_DELAY)
                 return
-            if answer.headers.get("connection", "") == "close" or not link.finish():
+            if (
+                answer.headers.get("connection", "") == "close"
+                or not connection.finish()
+            ):
                 return
             await asyncio.sleep(self._rng.uniform(0.0, 0.03))
 
-    def _check_route(self, asked: int, life: int, answer: Answer) -> None:
-        shown = self._shown.get(life, 0)
-        if answer.status == UNKNOWN_TURN and asked <= shown:
-            text = f"{self._gateway.name} had version {shown} and denies {asked}"
-            self._tally.violate(Promise.CONFIGURATION, text)
+    def _check_route(self, version: int, generation: int, answer: Answer) -> None:
+        seen = self._seen_versions.get(generation, 0)
+        if answer.status == UNKNOWN_TURN and version <= seen:
+            text = f"{self._gateway.name} served version {seen} and lacks {version}"
+            self._checker.report_violation(Property.CONFIGURATION, text)
         if answer.status == OK:
-            self._shown[life] = max(shown, asked)
+            self._seen_versions[generation] = max(seen, version)
--- a/sequoiaarch/tests/platform/soak/faults.py
+++ b/sequoiaarch/tests/platform/soak/faults.py
@@ -1,4 +1,4 @@
-"""Bring faults about, one after the other and over each other, by a seed."""
+"""Inject overlapping faults in an order that the seed determines."""
 
 from __future__ import annotations
 
@@ -10,23 +10,27 @@
 
 from ....standins.keyed_store import KeyedStore
 from .gateways import Gateway
-from .proxy import HARMS, Harm
-from .targets import SoakTarget, Trouble
-
-PAUSE = (0.1, 1.2)
-SHORT = (0.2, 1.5)
-LONG = (0.5, 4.0)
-DRAIN = (2.0, 10.0)
-CALM_SHARE = 0.05
-CALM_SECONDS = 4.5
-LOST_SHARE = 0.35
-SLOW_SECONDS = 0.25
+from .proxy import CALLER_AND_STORE_FAULTS, ProxyFault
+from .targets import SoakTarget, TargetFault
+
+# Pairs are ranges of seconds.
+START_INTERVAL = (0.1, 1.2)
+SHORT_DURATION = (0.2, 1.5)
+LONG_DURATION = (0.5, 4.0)
+DRAIN_DURATION = (2.0, 10.0)
+QUIET_DRAIN_SHARE = 0.05
+QUIET_DRAIN_SECONDS = 4.5
+LOST_ANSWER_SHARE = 0.35
+PROXY_DELAY = 0.25
 
 Action = Callable[[], Awaitable[None]]
 
 
-class Faults:
-    """Hold what may go wrong at a site, and when the store was last disturbed."""
+class FaultInjector:
+    """Injects faults into gateways, targets and the store.
+
+    It tracks since when the store has been available to all gateways.
+    """
 
     def __init__(
         self,
@@ -39,13 +43,13 @@
         rng: random.Random,
     ) -> None:
         self.counts: Counter[str] = Counter()
-        self.store_calm_since = 0.0
+        self.store_fault_ended_at = 0.0
         self._gateways = gateways
         self._targets = targets
         self._store = store
         self._rng = rng
-        self._busy: set[str] = set()
-        self._open = 0
+        self._faulty_gateways: set[str] = set()
+        self._active_store_faults = 0
         self._tasks: set[asyncio.Task[None]] = set()
         self._actions: list[tuple[Action, int]] = [
             (self._kill, 2),
@@ -65,85 +69,91 @@
         ]
 
     async def run(self, until: float) -> None:
-        """Begin faults until a time of the loop, then wait for their ends."""
+        """Start faults until the loop time `until`, then wait until they have ended."""
         loop = asyncio.get_running_loop()
         actions, weights = zip(*self._actions, strict=True)
         while loop.time() < until:
-            if self._rng.random() < CALM_SHARE:
-                await self._calm_drain()
+            if self._rng.random() < QUIET_DRAIN_SHARE:
+                await self._drain_without_faults()
             action = self._rng.choices(actions, weights)[0]
             self.counts[action.__name__.strip("_")] += 1
             task = asyncio.create_task(action())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
-            await asyncio.sleep(self._rng.uniform(*PAUSE))
+            await asyncio.sleep(self._rng.uniform(*START_INTERVAL))
         await asyncio.gather(*self._tasks)
 
-    def calm_since(self) -> float:
-        """Return since when nothing kept any gateway from the store."""
-        if self._open:
+    def store_available_since(self) -> float:
+        """Return the loop time since which every gateway can reach the store."""
+        if self._active_store_faults:
             return float("inf")
-        return self.store_calm_since
+        return self.store_fault_ended_at
 
     def undisturbed_since(self) -> float:
-        """Return since when no process was lost, and none kept from the store."""
-        return max(self.calm_since(), *(one.killed_at for one in self._gateways))
-
-    def _draw(self) -> Gateway | None:
-        """Return a gateway on which no other fault of a process is under way."""
-        free = [one for one in self._gateways if one.name not in self._busy]
-        return self._rng.choice(free) if free else None
+        """Return the loop time of the last kill or store fault."""
+        return max(
+            self.store_available_since(), *(one.killed_at for one in self._gateways)
+        )
+
+    def _choose_gateway(self) -> Gateway | None:
+        """Return a random gateway whose process has no active fault."""
+        available = [
+            one for one in self._gateways if one.name not in self._faulty_gateways
+        ]
+        return self._rng.choice(available) if available else None
 
     async def _kill(self) -> None:
-        gateway = self._draw()
+        gateway = self._choose_gateway()
         if gateway is not None:
             await self._restart(gateway, gateway.kill)
 
     async def _stop(self) -> None:
-        gateway = self._draw()
+        gateway = self._choose_gateway()
         if gateway is not None:
-            await self._restart(gateway, gateway.stop_planned)
+            await self._restart(gateway, gateway.stop_gracefully)
 
     async def _restart(self, gateway: Gateway, end: Action) -> None:
-        self._busy.add(gateway.name)
+        self._faulty_gateways.add(gateway.name)
         try:
             await end()
-            await asyncio.sleep(self._rng.uniform(*SHORT))
+            await asyncio.sleep(self._rng.uniform(*SHORT_DURATION))
             await gateway.start()
         finally:
-            self._busy.discard(gateway.name)
+            self._faulty_gateways.discard(gateway.name)
 
     async def _kill_all(self) -> None:
-        free = [one for one in self._gateways if one.name not in self._busy]
-        await asyncio.gather(*(self._restart(one, one.kill) for one in free))
+        available = [
+            one for one in self._gateways if one.name not in self._faulty_gateways
+        ]
+        await asyncio.gather(*(self._restart(one, one.kill) for one in available))
 
     async def _hang_up(self) -> None:
-        gateway = self._draw()
+        gateway = self._choose_gateway()
         if gateway is not None:
-            await gateway.hang_up()
+            await gateway.send_hangup()
 
     async def _freeze(self) -> None:
-        gateway = self._draw()
+        gateway = self._choose_gateway()
         if gateway is None:
             return
-        self._busy.add(gateway.name)
-        self._begin()
-        gateway.disturb()
+        self._faulty_gateways.add(gateway.name)
+        self._begin_store_fault()
+        gateway.record_disturbance()
         gateway.signal(signal.SIGSTOP)
-        await asyncio.sleep(self._rng.uniform(*LONG))
+        await asyncio.sleep(self._rng.uniform(*LONG_DURATION))
         gateway.signal(signal.SIGCONT)
-        gateway.disturb()
-        self._end()
-        self._busy.discard(gateway.name)
+        gateway.record_disturbance()
+        self._end_store_fault()
+        self._faulty_gateways.discard(gateway.name)
 
     async def _harm_callers(self) -> None:
         gateway = self._rng.choice(self._gateways)
-        harm = self._rng.choice(HARMS)
-        gateway.disturb()
-        gateway.callers.set(harm, SLOW_SECONDS)
-        await asyncio.sleep(self._rng.uniform(*SHORT))
-        gateway.callers.set(Harm.NONE)
-        gateway.disturb()
+        fault = self._rng.choice(CALLER_AND_STORE_FAULTS)
+        gateway.record_disturbance()
+        gateway.caller_proxy.set_fault(fault, PROXY_DELAY)
+        await asyncio.sleep(self._rng.uniform(*SHORT_DURATION))
+        gateway.caller_proxy.set_fault(ProxyFault.NONE)
+        gateway.record_disturbance()
 
     async def _store_away_for_one(self) -> None:
         await self._store_away([self._rng.choice(self._gateways)])
@@ -152,58 +162,58 @@
         await self._store_away(self._gateways)
 
     async def _store_away(self, gateways: list[Gateway]) -> None:
-        harm = self._rng.choice([*HARMS, None, None])
-        self._begin()
+        fault = self._rng.choice([*CALLER_AND_STORE_FAULTS, None, None])
+        self._begin_store_fault()
         for gateway in gateways:
-            if harm is None:
-                gateway.store.status = self._rng.choice((503, 429))
+            if fault is None:
+                gateway.store_server.status = self._rng.choice((503, 429))
             else:
-                gateway.to_store.set(harm, SLOW_SECONDS)
-        await asyncio.sleep(self._rng.uniform(*LONG))
+                gateway.store_proxy.set_fault(fault, PROXY_DELAY)
+        await asyncio.sleep(self._rng.uniform(*LONG_DURATION))
         for gateway in gateways:
-            gateway.store.status = 200
-            gateway.to_store.set(Harm.NONE)
-        self._end()
+            gateway.store_server.status = 200
+            gateway.store_proxy.set_fault(ProxyFault.NONE)
+        self._end_store_fault()
 
     async def _store_loses_answers(self) -> None:
-        self._begin()
+        self._begin_store_fault()
         for gateway in self._gateways:
-            gateway.store.loses = lambda: self._rng.random() < LOST_SHARE
-        await asyncio.sleep(self._rng.uniform(*LONG))
+            gateway.store_server.loses = lambda: self._rng.random() < LOST_ANSWER_SHARE
+        await asyncio.sleep(self._rng.uniform(*LONG_DURATION))
         for gateway in self._gateways:
-            gateway.store.loses = lambda: False
-        self._end()
+            gateway.store_server.loses = lambda: False
+        self._end_store_fault()
 
     async def _store_forgets(self) -> None:
         self._store.forget_history()
 
     async def _target_trouble(self) -> None:
         target = self._rng.choice(self._targets)
-        target.trouble = self._rng.choice(list(Trouble))
-        await asyncio.sleep(self._rng.uniform(*LONG))
-        target.trouble = Trouble.NONE
+        target.fault = self._rng.choice(list(TargetFault))
+        await asyncio.sleep(self._rng.uniform(*LONG_DURATION))
+        target.fault = TargetFault.NONE
 
     async def _target_drains(self) -> None:
         target = self._rng.choice(self._targets)
         await target.drain()
-        await asyncio.sleep(self._rng.uniform(*DRAIN))
+        await asyncio.sleep(self._rng.uniform(*DRAIN_DURATION))
         await target.replace()
 
-    async def _calm_drain(self) -> None:
-        """Let all faults end, and have a target leave while nothing else happens.
+    async def _drain_without_faults(self) -> None:
+        """Wait until all faults have ended, then drain a target.
 
-        What a gateway may send to a leaving target is bounded only while it
-        reaches the store.
+        Gateways learn of a drain from the store, so that only without store faults
+        they must stop sending requests in time.
         """
         await asyncio.gather(*self._tasks)
         target = self._rng.choice(self._targets)
         await target.drain()
-        await asyncio.sleep(CALM_SECONDS)
+        await asyncio.sleep(QUIET_DRAIN_SECONDS)
         await target.replace()
 
-    def _begin(self) -> None:
-        self._open += 1
+    def _begin_store_fault(self) -> None:
+        self._active_store_faults += 1
 
-    def _end(self) -> None:
-        self._open -= 1
-        self.store_calm_since = asyncio.get_running_loop().time()
+    def _end_store_fault(self) -> None:
+        self._active_store_faults -= 1
+        self.store_fault_ended_at = asyncio.get_running_loop().time()
--- a/sequoiaarch/tests/platform/soak/gateways.py
+++ b/sequoiaarch/tests/platform/soak/gateways.py
@@ -1,4 +1,4 @@
-"""Run gateways as separate processes, each behind proxies of its own."""
+"""Run gateways as separate processes, each behind its own proxies."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 MODULE = "sequoiaarch.platform"
 GRACE_SECONDS = 8
 START_SECONDS = 10.0
-HANG_UP_POLL = 0.01
+SIGHUP_POLL_INTERVAL = 0.01
 PARTITIONS = 12
 SETTINGS = """
 nodeName = "{name}"
@@ -45,27 +45,28 @@
 
 
 def own_address(number: int) -> str:
-    """Return a loopback address that no other process of the machine uses.
+    """Return a loopback address that depends on the process id.
 
-    A port that was free a moment ago may be another soak's by the time that a
-    gateway binds it; on an address of its own nobody else takes it.
+    On an address of its own, no other soak takes a port between the check that it is
+    free and the start of the gateway.
     """
-    pid = os.getpid()
-    return f"127.{1 + (pid >> 8) % 200}.{pid & 0xFF}.{1 + number}"
+    process_id = os.getpid()
+    return f"127.{1 + (process_id >> 8) % 200}.{process_id & 0xFF}.{1 + number}"
 
 
 def free_port(address: str) -> int:
-    """Return a port that the kernel has free."""
+    """Return a free port."""
     with socket.socket() as probe:
         probe.bind((address, 0))
         return int(probe.getsockname()[1])
 
 
 class Gateway:
-    """Hold one gateway: its process, its settings and the proxies around it.
+    """One gateway: its process, its settings and its proxies.
 
-    `life` counts its processes. Callers come through `callers`, other gateways
-    through `from_peers`, its calls to the store go through `to_store`.
+    `generation` counts the processes started. Callers connect through
+    `caller_proxy`, other gateways through `peer_proxy`, and the gateway connects to
+    the store through `store_proxy`.
     """
 
     def __init__(
@@ -75,11 +76,11 @@
         self.name = name
         self._address = own_address(number)
         self.zone = zone
-        self.control = free_port(self._address)
-        self.store = HttpStore(store=store)
-        self.life = 0
-        # Changes with each fault that may cut connections of this gateway.
-        self.quiet_since = 0.0
+        self.control_port = free_port(self._address)
+        self.store_server = HttpStore(store=store)
+        self.generation = 0
+        # Loop time of the last fault that may break connections of this gateway.
+        self.disturbed_at = 0.0
         self.killed_at = 0.0
         self._ready_port = free_port(self._address)
         self._front_port = free_port(self._address)
@@ -87,9 +88,9 @@
         self._settings = folder / f"{name}.toml"
         self._log = folder / f"{name}.log"
         self._process: asyncio.subprocess.Process | None = None
-        self.callers = FaultProxy(target=(self._address, self._front_port))
-        self.from_peers = FaultProxy(target=(self._address, self.control))
-        self.to_store = FaultProxy(target=(LOOPBACK, 0))
+        self.caller_proxy = FaultProxy(target=(self._address, self._front_port))
+        self.peer_proxy = FaultProxy(target=(self._address, self.control_port))
+        self.store_proxy = FaultProxy(target=(LOOPBACK, 0))
 
     @property
     def running(self) -> bool:
@@ -97,20 +98,20 @@
         return self._process is not None and self._process.returncode is None
 
     @property
-    def inner(self) -> str:
-        """Return the address at which other gateways reach this one."""
-        return f"{LOOPBACK}:{self.from_peers.port}"
+    def peer_address(self) -> str:
+        """Return the address at which other gateways connect to this one."""
+        return f"{LOOPBACK}:{self.peer_proxy.port}"
 
     async def listen(self) -> None:
-        """Start the proxies."""
-        await self.store.server.start(LOOPBACK, 0)
-        self.to_store.target = (LOOPBACK, self.store.server.port)
-        await self.to_store.start()
-        await self.callers.start()
-        await self.from_peers.start()
+        """Start the store server and the proxies."""
+        await self.store_server.server.start(LOOPBACK, 0)
+        self.store_proxy.target = (LOOPBACK, self.store_server.server.port)
+        await self.store_proxy.start()
+        await self.caller_proxy.start()
+        await self.peer_proxy.start()
 
     def write_settings(self, seeds: list[str]) -> None:
-        """Write the settings, with addresses of other gateways."""
+        """Write the settings, with addresses of other gateways as seeds."""
         text = SETTINGS.format(
             name=self.name,
             ip=self._address,
@@ -119,16 +120,16 @@
             seeds=seeds,
             front=self._front_port,
             ready=self._ready_port,
-            control=self.control,
-            store=self.to_store.port,
+            control=self.control_port,
+            store=self.store_proxy.port,
             grace=GRACE_SECONDS,
             parts=PARTITIONS,
         )
         self._settings.write_text(text.replace("'", '"'))
 
     async def start(self) -> None:
-        """Start a process; it may not be ready yet."""
-        self.life += 1
+        """Start a process without waiting until it is ready."""
+        self.generation += 1
         with self._log.open("ab") as log:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -140,7 +141,7 @@
             )
 
     async def ready(self) -> bool:
-        """Return whether the process says that it takes callers."""
+        """Return whether the readiness endpoint answers 200."""
         try:
             async with asyncio.timeout(1.0):
                 reader, writer = await asyncio.open_connection(
@@ -154,48 +155,47 @@
         return b" 200 " in line
 
     @property
-    def standing(self) -> str:
+    def process_state(self) -> str:
         """Return whether the process runs, or how it ended."""
         if self.running:
             return "running"
         code = None if self._process is None else self._process.returncode
         return f"ended with {code}"
 
-    async def hang_up(self) -> None:
-        """Tell the process that its settings have changed.
+    async def send_hangup(self) -> None:
+        """Send SIGHUP once the process handles or ignores it.
 
-        In its first 50 ms the interpreter runs none of the product yet, and the
-        signal ends it whatever the product does.
+        Before the interpreter runs any of the product, the signal ends the process.
         """
-        while self.running and self._dies_of(signal.SIGHUP):
-            await asyncio.sleep(HANG_UP_POLL)
+        while self.running and self._would_die_of(signal.SIGHUP):
+            await asyncio.sleep(SIGHUP_POLL_INTERVAL)
         self.signal(signal.SIGHUP)
 
-    def _dies_of(self, number: signal.Signals) -> bool:
-        """Return whether the process neither ignores nor handles a signal."""
+    def _would_die_of(self, number: signal.Signals) -> bool:
+        """Return whether the process neither ignores nor handles the signal."""
         assert self._process is not None
         try:
             text = Path(f"/proc/{self._process.pid}/status").read_text()
         except FileNotFoundError:
-            # It has ended, which `running` tells a moment later.
+            # The process has ended, which `running` notices a moment later.
             return True
         lines = text.splitlines()
         fields = dict(line.split(":\t", 1) for line in lines if ":\t" in line)
-        dealt_with = int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)
-        return not dealt_with >> (number - 1) & 1
+        handled = int(fields["SigIgn"], 16) | int(fields["SigCgt"], 16)
+        return not handled >> (number - 1) & 1
 
-    def disturb(self) -> None:
-        """Note a fault that may cut what is under way."""
-        self.quiet_since = asyncio.get_running_loop().time()
+    def record_disturbance(self) -> None:
+        """Record a fault that may break open connections."""
+        self.disturbed_at = asyncio.get_running_loop().time()
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it runs."""
         if self.running:
             assert self._process is not None
             self._process.send_signal(number)
 
-    async def ended(self, timeout: float) -> bool:
-        """Wait until the process has ended; False after so many seconds."""
+    async def wait_ended(self, timeout: float) -> bool:
+        """Wait until the process has ended; return False on timeout."""
         if self._process is None:
             return True
         try:
@@ -206,24 +206,24 @@
         return True
 
     async def kill(self) -> None:
-        """Kill the process and wait for its end."""
-        self.disturb()
+        """Kill the process and wait until it has ended."""
+        self.record_disturbance()
         self.killed_at = asyncio.get_running_loop().time()
         self.signal(signal.SIGKILL)
-        await self.ended(START_SECONDS)
+        await self.wait_ended(START_SECONDS)
 
-    async def stop_planned(self) -> None:
-        """Stop as the platform does: a request first, force after the grace."""
+    async def stop_gracefully(self) -> None:
+        """Stop as the platform does: SIGTERM, and SIGKILL after the grace period."""
         self.signal(signal.SIGTERM)
-        if not await self.ended(GRACE_SECONDS):
+        if not await self.wait_ended(GRACE_SECONDS):
             await self.kill()
 
     async def close(self) -> None:
         """End the process and the proxies."""
         self.signal(signal.SIGCONT)
         await self.kill()
-        await self.callers.stop()
-        await self.from_peers.stop()
-        await self.to_store.stop()
-        self.store.server.stop_accepting()
-        self.store.server.abort()
+        await self.caller_proxy.stop()
+        await self.peer_proxy.stop()
+        await self.store_proxy.stop()
+        self.store_server.server.stop_accepting()
+        self.store_server.server.abort()
--- a/sequoiaarch/tests/platform/soak/links.py
+++ b/sequoiaarch/tests/platform/soak/links.py
@@ -1,4 +1,4 @@
-"""Harm the links between gateways, by a seed."""
+"""Inject faults into the links between gateways."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 from ....standins.keyed_store import KeyedStore
 from ....storage.keyed import KeyedRecord, Partition, Writer
 from .gateways import Gateway
-from .proxy import Harm
+from .proxy import ProxyFault
 
-PAUSE = (0.1, 0.8)
-HARMED = (0.3, 3.0)
-# A gateway waits a tenth of a second for a delegate's first word. Seconds.
+START_INTERVAL = (0.1, 0.8)
+FAULT_DURATION = (0.3, 3.0)
+# Seconds; below and above the 0.1 s for which gateways wait for a delegate.
 DELAY = (0.05, 0.6)
-WEIGHTS = {
-    Harm.DELAY: 3,
-    Harm.LATE: 3,
-    Harm.MUTE: 2,
-    Harm.DEAF: 1,
-    Harm.SILENT: 1,
-    Harm.RESET: 1,
+FAULT_WEIGHTS = {
+    ProxyFault.DELAY: 3,
+    ProxyFault.LATE: 3,
+    ProxyFault.MUTE: 2,
+    ProxyFault.DEAF: 1,
+    ProxyFault.SILENT: 1,
+    ProxyFault.RESET: 1,
 }
 
 
 class ProxiedStore(KeyedStore):
-    """Register each gateway at the address of its proxy."""
+    """Store that replaces the addresses of gateways by those of their proxies."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -40,45 +40,46 @@
     async def append(
         self, partition: Partition, records: list[KeyedRecord], writer: Writer
     ) -> Offset | Failure:
-        """Append in the order of the writer's sequence."""
+        """Append records, registrations of gateways with the address of the proxy."""
         if partition.topic == TOPIC:
-            records = [self._moved(record) for record in records]
+            records = [self._via_proxy(record) for record in records]
         return await super().append(partition, records, writer)
 
-    def _moved(self, record: KeyedRecord) -> KeyedRecord:
+    def _via_proxy(self, record: KeyedRecord) -> KeyedRecord:
         if not record.value:
             return record
         peer = msgspec.json.decode(record.value, type=PeerRecord)
-        moved = msgspec.structs.replace(peer, address=self.proxies[record.key])
-        return KeyedRecord(key=record.key, value=msgspec.json.encode(moved))
+        proxied = msgspec.structs.replace(peer, address=self.proxies[record.key])
+        return KeyedRecord(key=record.key, value=msgspec.json.encode(proxied))
 
 
 class LinkFaults:
-    """Harm the ways to gateways, each for a while and over each other.
+    """Injects overlapping faults into the links from other gateways.
 
-    They have lots of their own: the other faults of a seed stay as they are.
+    It has its own random generator, so that the other faults of a seed don't depend
+    on it.
     """
 
     def __init__(self, *, gateways: list[Gateway], rng: random.Random) -> None:
         self.counts: Counter[str] = Counter()
-        self._free = list(gateways)
+        self._idle_gateways = list(gateways)
         self._rng = rng
 
     async def run(self, until: float) -> None:
-        """Begin harms until a time of the loop, when all of them end."""
+        """Start faults until the loop time `until`, when all of them end."""
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as group:
-            while (left := until - loop.time()) > 0:
-                if self._free:
-                    group.create_task(self._harm(left))
-                await asyncio.sleep(min(left, self._rng.uniform(*PAUSE)))
-
-    async def _harm(self, left: float) -> None:
-        gateway = self._rng.choice(self._free)
-        self._free.remove(gateway)
-        harm = self._rng.choices(list(WEIGHTS), list(WEIGHTS.values()))[0]
-        self.counts[f"link {harm.name.lower()}"] += 1
-        gateway.from_peers.set(harm, self._rng.uniform(*DELAY))
-        await asyncio.sleep(min(left, self._rng.uniform(*HARMED)))
-        gateway.from_peers.set(Harm.NONE)
-        self._free.append(gateway)
+            while (remaining := until - loop.time()) > 0:
+                if self._idle_gateways:
+                    group.create_task(self._apply_fault(remaining))
+                await asyncio.sleep(min(remaining, self._rng.uniform(*START_INTERVAL)))
+
+    async def _apply_fault(self, remaining: float) -> None:
+        gateway = self._rng.choice(self._idle_gateways)
+        self._idle_gateways.remove(gateway)
+        fault = self._rng.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
+        self.counts[f"link {fault.name.lower()}"] += 1
+        gateway.peer_proxy.set_fault(fault, self._rng.uniform(*DELAY))
+        await asyncio.sleep(min(remaining, self._rng.uniform(*FAULT_DURATION)))
+        gateway.peer_proxy.set_fault(ProxyFault.NONE)
+        self._idle_gateways.append(gateway)
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -1,4 +1,4 @@
-"""Run a gateway with one fault planted, which the soak must catch."""
+"""Run a gateway with one planted fault, which the soak must detect."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 from ....workspaces.access import Access, Caller
 from ....workspaces.sliding_window import ShareWindow
 
-VARIABLE = "SOAK_PLANTED"
+FAULT_VARIABLE = "SOAK_PLANTED"
 
 
 def commit_skipped() -> None:
-    """End kept turns without writing them."""
+    """Finish retained turns without writing them to the log."""
 
     async def write(self: Ledger, *_: Any) -> None:
         pass
@@ -40,7 +40,7 @@
 
 
 def budget_counted_late() -> None:
-    """Let every turn begin, whatever others were granted."""
+    """Let every turn start, whatever was granted to others."""
 
     async def verdict(self: Reservation) -> BudgetVerdict:
         return BudgetVerdict.FITS
@@ -53,7 +53,7 @@
 
 
 def lends_without_account() -> None:
-    """Lend every turn all that it asks for."""
+    """Lend as many tokens as each turn requests."""
 
     def lend(self: LoanBook, loan: LoanId, terms: TurnTerms, *_: Any) -> int:
         return terms.most
@@ -62,7 +62,7 @@
 
 
 def goes_on_untold() -> None:
-    """Open a turn elsewhere without telling a delegate that is late."""
+    """Open a turn elsewhere without reporting that to the late delegate."""
     report = DelegatedTurns.report_end
 
     def report_end(self: DelegatedTurns, *_: Any, **__: Any) -> None:
@@ -81,7 +81,7 @@
 
 
 def repeats_everything() -> None:
-    """Send again what may run only once."""
+    """Retry requests that must not run twice."""
 
     def may_repeat(self: Attempts, error: ExchangeError) -> bool:
         return True
@@ -90,43 +90,43 @@
 
 
 def refuses_after_run() -> None:
-    """Promise that a request has not run although its answer broke."""
+    """Answer that a request has not run when its answer was cut off."""
 
-    def after_break(self: Exchange, error: ExchangeError) -> None:
-        raise fail(ErrorKind.OVERLOADED, "the answer broke")
+    def refuse(self: Exchange, error: ExchangeError) -> None:
+        raise fail(ErrorKind.OVERLOADED, "the answer was cut off")
 
-    setattr(Exchange, "_check_retry", after_break)  # noqa: B010
+    setattr(Exchange, "_check_retry", refuse)  # noqa: B010
 
 
 def goes_back() -> None:
-    """Return to the first configuration now and then."""
-    take = IngressDaemon._apply_routes
+    """Revert to the first configuration a second after each newer one."""
+    apply_routes = IngressDaemon._apply_routes
 
-    def take_routes(self: IngressDaemon, routes: RouteTable) -> None:
+    def apply_then_revert(self: IngressDaemon, routes: RouteTable) -> None:
         first = getattr(self, "first_routes", None)
-        take(self, routes)
+        apply_routes(self, routes)
         if first is None:
             setattr(self, "first_routes", self.dispatcher.routes)  # noqa: B010
             return
         loop = asyncio.get_running_loop()
         loop.call_later(1.0, setattr, self.dispatcher, "routes", first)
 
-    setattr(IngressDaemon, "_apply_routes", take_routes)  # noqa: B010
+    setattr(IngressDaemon, "_apply_routes", apply_then_revert)  # noqa: B010
 
 
 def ignores_drains() -> None:
-    """Send work to targets that announced their leaving."""
-    put = Targets.put
+    """Send requests to draining targets."""
+    register = Targets.put
 
-    def put_ready(self: Targets, entry: Any) -> None:
+    def register_unless_draining(self: Targets, entry: Any) -> None:
         if not entry.draining:
-            put(self, entry)
+            register(self, entry)
 
-    setattr(Targets, "put", put_ready)  # noqa: B010
+    setattr(Targets, "put", register_unless_draining)  # noqa: B010
 
 
 def stops_at_once() -> None:
-    """End on request without finishing what runs."""
+    """Stop on SIGTERM without finishing open requests."""
 
     async def stop(self: IngressDaemon) -> None:
         await self.close()
@@ -135,7 +135,7 @@
 
 
 def keeps_keys() -> None:
-    """Go by the keys of the first configuration for ever."""
+    """Accept the keys of the first configuration for ever."""
     identify = Access.identify
 
     def identify_first(self: Access, key: str | None, *, public: bool) -> Caller:
@@ -149,7 +149,7 @@
 
 
 def hands_out_everything() -> None:
-    """Hand out every token that is asked for."""
+    """Grant every rate limit token that is requested."""
 
     def take(self: ShareWindow, count: int, *_: Any, **__: Any) -> int:
         return count
@@ -157,7 +157,7 @@
     setattr(ShareWindow, "take", take)  # noqa: B010
 
 
-PLANTS: dict[str, Callable[[], None]] = {
+PLANTED_FAULTS: dict[str, Callable[[], None]] = {
     one.__name__: one
     for one in (
         commit_skipped,
@@ -175,5 +175,5 @@
 }
 
 if __name__ == "__main__":
-    PLANTS[os.environ[VARIABLE]]()
+    PLANTED_FAULTS[os.environ[FAULT_VARIABLE]]()
     sys.exit(main())
--- /dev/null
+++ b/sequoiaarch/tests/platform/soak/property_checker.py
@@ -0,0 +1,137 @@
+"""Check what callers and targets observed against required properties."""
+
+from __future__ import annotations
+
+from bisect import bisect_left
+from collections import Counter
+from dataclasses import dataclass, field
+from enum import Enum
+
+from ....workspaces.directory import RateLimit
+from ....workspaces.sliding_window import QuotaBounds
+
+
+class Property(Enum):
+    """Property that must hold under every fault."""
+
+    WHOLE = "an answer is the target's own and whole, or visibly not"
+    ONCE = "what can't be repeated runs once at most"
+    NOT_RUN = "what was refused as not run has not run"
+    HISTORY = "a kept turn is found, and its prompt is exact"
+    BUDGET = "no more tokens than the budget and one turn"
+    ROOM = "a turn that the budget has room for is not refused for it for long"
+    STOP = "a planned stop cuts nothing"
+    CONFIGURATION = "a process never goes back to an older configuration"
+    LEAVING = "a target that drains gets nothing new"
+    WORKSPACE = "a target is told the workspace of the key, and never the key"
+    REVOKED = "a key that was taken away runs nothing after the bound"
+    QUOTA = "no window holds more of a workspace than its limit allows"
+    BACK = "all is served again when the faults are over"
+
+
+# Statuses that promise that the request has not run and never will.
+NOT_RUN_STATUSES = frozenset({402, 404, 408, 421, 429, 503})
+
+UNLIMITED_KEY = "key-of-open"
+UNLIMITED_WORKSPACE = "open"
+# Seconds within which every gateway must refuse a revoked key.
+REVOCATION_TIMEOUT = 5.0
+
+
+@dataclass(kw_only=True)
+class TargetRun:
+    """Start of an attempt at a target, with the request that the target got."""
+
+    instance: str
+    body: bytes
+    at: float = 0.0
+    workspace: str | None = None
+    key: str | None = None
+
+
+@dataclass(kw_only=True)
+class SentRequest:
+    """API key of an attempt, and when the attempt was sent."""
+
+    key: str
+    at: float
+
+
+@dataclass(kw_only=True)
+class PropertyChecker:
+    """Records what targets and callers observe, and checks the properties."""
+
+    runs: dict[str, list[TargetRun]] = field(default_factory=dict)
+    refused_statuses: dict[str, int] = field(default_factory=dict)
+    idempotent: set[str] = field(default_factory=set)
+    prompts: dict[str, bytes] = field(default_factory=dict)
+    sent_requests: dict[str, SentRequest] = field(default_factory=dict)
+    workspace_of_key: dict[str, str] = field(default_factory=dict)
+    # Loop times at which the store accepted a configuration without the key.
+    revoked_at: dict[str, float] = field(default_factory=dict)
+    limits: dict[str, tuple[RateLimit, QuotaBounds]] = field(default_factory=dict)
+    counts: Counter[str] = field(default_factory=Counter)
+    violations: list[str] = field(default_factory=list)
+
+    def report_violation(self, violated: Property, text: str) -> None:
+        """Record that a property did not hold."""
+        self.violations.append(f"{violated.name}: {text}")
+
+    def record_run(self, attempt: str, run: TargetRun) -> None:
+        """Record a run, and check its prompt, its key and how often it ran."""
+        runs = self.runs.setdefault(attempt, [])
+        runs.append(run)
+        self.counts["runs"] += 1
+        if len(runs) > 1 and attempt not in self.idempotent:
+            self.report_violation(Property.ONCE, f"{attempt} ran {len(runs)} times")
+        expected = self.prompts.get(attempt)
+        if expected is not None and run.body != expected:
+            self.report_violation(
+                Property.HISTORY, f"{attempt} ran with {run.body[:200]!r}"
+            )
+        sent = self.sent_requests.get(attempt)
+        if sent is not None:
+            self._check_key(attempt, sent, run)
+
+    def _check_key(self, attempt: str, sent: SentRequest, run: TargetRun) -> None:
+        expected = self.workspace_of_key.get(sent.key)
+        if run.workspace != expected or run.key is not None:
+            text = f"{attempt} of {expected} ran in {run.workspace}, key {run.key}"
+            self.report_violation(Property.WORKSPACE, text)
+        revoked_at = self.revoked_at.get(sent.key)
+        if revoked_at is not None and sent.at > revoked_at + REVOCATION_TIMEOUT:
+            text = (
+                f"{attempt} ran {sent.at - revoked_at:.2f} s after its key was revoked"
+            )
+            self.report_violation(Property.REVOKED, text)
+
+    def record_status(self, attempt: str, status: int) -> None:
+        """Record the status that a caller received."""
+        self.counts[f"status {status}"] += 1
+        if status in NOT_RUN_STATUSES:
+            self.refused_statuses[attempt] = status
+
+    def check_end(self) -> None:
+        """Check refused requests and rate limits, once everything has ended."""
+        for attempt, status in self.refused_statuses.items():
+            if attempt in self.runs:
+                self.report_violation(
+                    Property.NOT_RUN, f"{attempt} got {status} and ran"
+                )
+        for name, (limit, bounds) in self.limits.items():
+            max_runs = self._max_runs_in_window(name, bounds.window)
+            self.counts[f"{name} in a window"] = max_runs
+            if max_runs > bounds.allowed(limit):
+                text = f"{max_runs} runs of {name}, {bounds.allowed(limit)} allowed"
+                self.report_violation(Property.QUOTA, text)
+
+    def _max_runs_in_window(self, workspace: str, seconds: float) -> int:
+        """Return the highest number of runs in any window of so many seconds."""
+        times = sorted(
+            run.at
+            for runs in self.runs.values()
+            for run in runs
+            if run.workspace == workspace
+        )
+        ends = (bisect_left(times, begin + seconds) for begin in times)
+        return max((end - rank for rank, end in enumerate(ends)), default=0)
--- a/sequoiaarch/tests/platform/soak/proxy.py
+++ b/sequoiaarch/tests/platform/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Stand between two processes and harm what passes."""
+"""Proxy TCP connections between two processes, with faults."""
 
 from __future__ import annotations
 
@@ -12,8 +12,11 @@
 READ_BYTES = 65536
 
 
-class Harm(Enum):
-    """Say what happens to connections through a proxy."""
+class ProxyFault(Enum):
+    """What happens to connections through a proxy.
+
+    Reports of the soak show the member names.
+    """
 
     NONE = "none"
     DELAY = "bytes come later"
@@ -24,54 +27,65 @@
     LATE = "answers come later"
 
 
-# What callers and the way to the store meet.
-HARMS = (Harm.DELAY, Harm.RESET, Harm.DEAF, Harm.MUTE, Harm.SILENT)
+# Faults of the proxies for callers and for the store.
+CALLER_AND_STORE_FAULTS = (
+    ProxyFault.DELAY,
+    ProxyFault.RESET,
+    ProxyFault.DEAF,
+    ProxyFault.MUTE,
+    ProxyFault.SILENT,
+)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Way:
-    """Say which harms a direction suffers from."""
+class Direction:
+    """Faults that delay or block one direction of a connection."""
 
-    slowed_by: tuple[Harm, ...]
-    blocked_by: tuple[Harm, ...]
+    slowed_by: tuple[ProxyFault, ...]
+    blocked_by: tuple[ProxyFault, ...]
 
 
-THERE = Way(slowed_by=(Harm.DELAY,), blocked_by=(Harm.DEAF, Harm.SILENT))
-BACK = Way(slowed_by=(Harm.DELAY, Harm.LATE), blocked_by=(Harm.MUTE, Harm.SILENT))
+TO_TARGET = Direction(
+    slowed_by=(ProxyFault.DELAY,), blocked_by=(ProxyFault.DEAF, ProxyFault.SILENT)
+)
+FROM_TARGET = Direction(
+    slowed_by=(ProxyFault.DELAY, ProxyFault.LATE),
+    blocked_by=(ProxyFault.MUTE, ProxyFault.SILENT),
+)
 
 
 class FaultProxy:
-    """Forward connections to an address, with a harm that may change."""
+    """Forwards connections to an address, subject to the current fault."""
 
     def __init__(self, *, target: tuple[str, int]) -> None:
         self.target = target
-        self.harm = Harm.NONE
+        self.fault = ProxyFault.NONE
         self.delay = 0.0
-        # How often something passed late or was held up.
-        self.harmed = 0
+        # Number of reads that were delayed or blocked.
+        self.disturbed_reads = 0
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._healed = asyncio.Event()
+        self._unblocked = asyncio.Event()
 
     @property
     def port(self) -> int:
-        """Return the port that is listened on."""
+        """Return the port on which the proxy listens."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     async def start(self) -> None:
-        """Listen on a port of the kernel's choice."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, LOOPBACK, 0)
 
-    def set(self, harm: Harm, delay: float = 0.0) -> None:
-        """Begin or end a harm; the delay is in seconds."""
-        self.harm, self.delay = harm, delay
-        if harm is Harm.RESET:
+    def set_fault(self, fault: ProxyFault, delay: float = 0.0) -> None:
+        """Set the current fault; the delay is in seconds."""
+        self.fault, self.delay = fault, delay
+        if fault is ProxyFault.RESET:
             self.reset()
-        if harm in (Harm.NONE, Harm.DELAY, Harm.LATE):
-            self._healed.set()
+        if fault in (ProxyFault.NONE, ProxyFault.DELAY, ProxyFault.LATE):
+            self._unblocked.set()
         else:
-            self._healed.clear()
+            self._unblocked.clear()
 
     def reset(self) -> None:
         """Reset all open connections."""
@@ -79,8 +93,8 @@
             _reset(writer)
 
     async def stop(self) -> None:
-        """Close everything."""
-        self._healed.set()
+        """Reset all connections and stop listening."""
+        self._unblocked.set()
         self.reset()
         if self._server is not None:
             self._server.close()
@@ -89,44 +103,48 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self._writers.add(writer)
-        far: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
-            if self.harm is Harm.RESET:
+            if self.fault is ProxyFault.RESET:
                 _reset(writer)
                 return
-            far_reader, far = await asyncio.open_connection(*self.target)
-            self._writers.add(far)
-            ways = {
-                asyncio.create_task(self._pass(reader, far, THERE)),
-                asyncio.create_task(self._pass(far_reader, writer, BACK)),
+            target_reader, target_writer = await asyncio.open_connection(*self.target)
+            self._writers.add(target_writer)
+            directions = {
+                asyncio.create_task(self._forward(reader, target_writer, TO_TARGET)),
+                asyncio.create_task(self._forward(target_reader, writer, FROM_TARGET)),
             }
-            _, left = await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
-            # An end in one direction lets the other finish what it holds.
-            if left:
-                await asyncio.wait(left, timeout=1.0)
-            for way in left:
-                way.cancel()
+            _, pending = await asyncio.wait(
+                directions, return_when=asyncio.FIRST_COMPLETED
+            )
+            # After the end of one direction, the other may finish.
+            if pending:
+                await asyncio.wait(pending, timeout=1.0)
+            for direction in pending:
+                direction.cancel()
         except OSError:
             _reset(writer)
         finally:
-            for one in (writer, far):
+            for one in (writer, target_writer):
                 if one is not None:
                     self._writers.discard(one)
                     one.transport.abort()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        way: Way,
+        direction: Direction,
     ) -> None:
         try:
             while data := await reader.read(READ_BYTES):
-                self.harmed += self.harm in way.slowed_by + way.blocked_by
-                if self.harm in way.slowed_by:
+                self.disturbed_reads += (
+                    self.fault in direction.slowed_by + direction.blocked_by
+                )
+                if self.fault in direction.slowed_by:
                     await asyncio.sleep(self.delay)
-                while self.harm in way.blocked_by:
-                    await self._healed.wait()
+                while self.fault in direction.blocked_by:
+                    await self._unblocked.wait()
                 writer.write(data)
                 await writer.drain()
             writer.write_eof()
@@ -135,7 +153,7 @@
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection, unless it is gone already."""
+    """Reset a connection, unless it is closed already."""
     if not writer.transport.is_closing():
         reset_on_close(writer.get_extra_info("socket"))
     writer.transport.abort()
--- a/sequoiaarch/tests/platform/soak/run.py
+++ b/sequoiaarch/tests/platform/soak/run.py
@@ -1,4 +1,4 @@
-"""Run one seed of the soak and report what was broken."""
+"""Run one seed of the soak and report violated properties."""
 
 from __future__ import annotations
 
@@ -10,33 +10,34 @@
 
 import msgspec
 
-from ..site import ENGINES, ROUTES, TOOLS, config, route
-from .callers import Caller, KeptCaller, Line
-from .faults import Faults
+from ..deployment import ENGINES, ROUTES, TOOLS, config, route
+from .callers import Caller, Conversation, KeepAliveCaller
+from .faults import FaultInjector
 from .gateways import MODULE, START_SECONDS, Gateway
-from .keyed import LIMITED_CALLERS, KeyedCaller, Workspaces
 from .links import LinkFaults, ProxiedStore
-from .small import SmallCaller
-from .tally import Promise, Tally
+from .property_checker import Property, PropertyChecker
+from .small import SmallBudgetCaller
 from .targets import SoakTarget
+from .workspace_callers import LIMITED_CALLERS, WorkspaceCaller, Workspaces
 
 ZONES = ("here", "there")
 ENGINE_COUNT = 4
 TOOL_COUNT = 3
-CALLERS_EACH = 4
-KEPT_EACH = 3
-SMALL_EACH = 3
+CALLERS_PER_GATEWAY = 4
+KEEP_ALIVE_CALLERS_PER_GATEWAY = 3
+SMALL_BUDGET_CALLERS_PER_GATEWAY = 3
 ROTATED_CALLERS = 2
-QUIET_SECONDS = 3.0
-# Links are whole again for so long before the last check.
-LINKS_QUIET_SECONDS = 1.0
-LINES_CHECKED = 20
+FAULT_FREE_SECONDS = 3.0
+# Time without link faults before the final check.
+LINK_FAULT_FREE_SECONDS = 1.0
+CONVERSATIONS_CHECKED = 20
 
 
 class Plan(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how large and how long a run is; `module` is what gateways run.
+    """Size and duration of a run; `module` is the program that gateways run.
 
-    After `seconds` with all faults come `link_seconds` with none but harmed links.
+    `seconds` with all kinds of faults are followed by `link_seconds` with link faults
+    only.
     """
 
     seed: int
@@ -47,7 +48,7 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
-    """Tell how a run went; `folder` holds the gateways' lines."""
+    """Result of a run; `folder` holds the logs of the gateways."""
 
     seed: int
     seconds: float
@@ -58,16 +59,16 @@
 
 
 class Soak:
-    """Hold a site of gateway processes between stand-ins."""
+    """Runs gateway processes between a stand-in store and stand-in targets."""
 
     def __init__(self, *, plan: Plan, folder: Path) -> None:
         self._plan = plan
         self._folder = folder
         self._rng = random.Random(plan.seed)
         self._store = ProxiedStore()
-        self._tally = Tally()
+        self._checker = PropertyChecker()
         self._version = 1
-        self._workspaces = Workspaces(tally=self._tally)
+        self._workspaces = Workspaces(checker=self._checker)
         self._gateways = [
             Gateway(
                 number=number,
@@ -79,10 +80,10 @@
             for number in range(plan.gateways)
         ]
         self._targets = [
-            self._target(ENGINES if number < ENGINE_COUNT else TOOLS, number)
+            self._make_target(ENGINES if number < ENGINE_COUNT else TOOLS, number)
             for number in range(ENGINE_COUNT + TOOL_COUNT)
         ]
-        self._faults = Faults(
+        self._fault_injector = FaultInjector(
             gateways=self._gateways,
             targets=self._targets,
             store=self._store,
@@ -90,87 +91,89 @@
             rotate=self._rotate,
             rng=self._fresh_rng(),
         )
-        self._kept = [
-            KeptCaller(gateway=one, tally=self._tally, rng=self._fresh_rng())
+        self._keep_alive_callers = [
+            KeepAliveCaller(gateway=one, checker=self._checker, rng=self._fresh_rng())
             for one in self._gateways
-            for _ in range(KEPT_EACH)
+            for _ in range(KEEP_ALIVE_CALLERS_PER_GATEWAY)
         ]
         self._callers = [
             Caller(
                 name=f"caller-{number}",
                 gateways=self._gateways,
-                tally=self._tally,
+                checker=self._checker,
                 rng=self._fresh_rng(),
             )
-            for number in range(CALLERS_EACH * plan.gateways)
+            for number in range(CALLERS_PER_GATEWAY * plan.gateways)
         ]
-        self._keyed = [
-            KeyedCaller(
+        self._workspace_callers = [
+            WorkspaceCaller(
                 gateways=self._gateways,
-                tally=self._tally,
+                checker=self._checker,
                 workspaces=self._workspaces,
-                limited=number < LIMITED_CALLERS,
+                rate_limited=number < LIMITED_CALLERS,
                 rng=self._fresh_rng(),
             )
             for number in range(LIMITED_CALLERS + ROTATED_CALLERS)
         ]
         self._link_faults = LinkFaults(gateways=self._gateways, rng=self._fresh_rng())
-        self._small = [
-            SmallCaller(
+        self._small_budget_callers = [
+            SmallBudgetCaller(
                 name=f"small-{number}",
                 gateways=self._gateways,
-                tally=self._tally,
+                checker=self._checker,
                 rng=self._fresh_rng(),
-                undisturbed_since=self._faults.undisturbed_since,
+                undisturbed_since=self._fault_injector.undisturbed_since,
             )
-            for number in range(SMALL_EACH * plan.gateways)
+            for number in range(SMALL_BUDGET_CALLERS_PER_GATEWAY * plan.gateways)
         ]
 
     async def run(self) -> Report:
-        """Run the site under faults, then quietly, and report."""
+        """Run callers and faults, check the state without faults, and report."""
         try:
             await self._start()
             loop = asyncio.get_running_loop()
             until = loop.time() + self._plan.seconds
             end = until + self._plan.link_seconds
             await asyncio.gather(
-                self._faults.run(until - QUIET_SECONDS),
+                self._fault_injector.run(until - FAULT_FREE_SECONDS),
                 *(one.run(until) for one in self._callers),
-                *(one.run(until) for one in self._kept),
-                *(one.run(until) for one in self._keyed),
-                self._link_faults.run(end - LINKS_QUIET_SECONDS),
-                *(one.run(end) for one in self._small),
+                *(one.run(until) for one in self._keep_alive_callers),
+                *(one.run(until) for one in self._workspace_callers),
+                self._link_faults.run(end - LINK_FAULT_FREE_SECONDS),
+                *(one.run(end) for one in self._small_budget_callers),
             )
             await self._check_end()
         finally:
             await asyncio.gather(*(one.close() for one in self._gateways))
             await asyncio.gather(*(one.stop() for one in self._targets))
-        self._tally.close()
+        self._checker.check_end()
         for gateway in self._gateways:
-            self._tally.counts["harmed between gateways"] += gateway.from_peers.harmed
+            self._checker.counts["harmed between gateways"] += (
+                gateway.peer_proxy.disturbed_reads
+            )
         return Report(
             seed=self._plan.seed,
             seconds=self._plan.seconds,
-            counts=dict(sorted(self._tally.counts.items())),
+            counts=dict(sorted(self._checker.counts.items())),
             faults=dict(
-                sorted((self._faults.counts + self._link_faults.counts).items())
+                sorted((self._fault_injector.counts + self._link_faults.counts).items())
             ),
-            broken=self._tally.broken,
+            broken=self._checker.violations,
             folder=str(self._folder),
         )
 
     def _fresh_rng(self) -> random.Random:
         return random.Random(self._rng.getrandbits(64))
 
-    def _target(self, service: str, number: int) -> SoakTarget:
+    def _make_target(self, service: str, number: int) -> SoakTarget:
         return SoakTarget(
             service=service,
             engine=service == ENGINES,
             zone=ZONES[number % len(ZONES)],
             store=self._store,
-            tally=self._tally,
+            checker=self._checker,
             rng=self._fresh_rng(),
-            calm_since=lambda: self._faults.calm_since(),
+            store_available_since=lambda: self._fault_injector.store_available_since(),
         )
 
     async def _start(self) -> None:
@@ -179,25 +182,27 @@
             await target.start()
         for gateway in self._gateways:
             await gateway.listen()
-            self._store.proxies[gateway.name] = gateway.inner
+            self._store.proxies[gateway.name] = gateway.peer_address
         for gateway in self._gateways:
-            others = [one.inner for one in self._gateways[:3] if one is not gateway]
+            others = [
+                one.peer_address for one in self._gateways[:3] if one is not gateway
+            ]
             gateway.write_settings(others)
         for gateway in self._gateways:
             await gateway.start()
-        await self._all_ready()
+        await self._wait_until_ready()
 
     async def _publish(self) -> None:
         self._version += 1
         await self._write_config()
-        for kept in self._kept:
-            kept.newest = self._version
+        for caller in self._keep_alive_callers:
+            caller.newest_version = self._version
 
     async def _rotate(self) -> None:
-        """Take a key away; the store's answer is when the bound begins."""
-        gone = self._workspaces.rotate()
+        """Revoke a key; the time limit for it starts when the store has answered."""
+        revoked_key = self._workspaces.rotate()
         await self._publish()
-        self._tally.revoked[gone] = asyncio.get_running_loop().time()
+        self._checker.revoked_at[revoked_key] = asyncio.get_running_loop().time()
 
     async def _write_config(self) -> None:
         routes: list[dict[str, Any]] = list(ROUTES)
@@ -207,41 +212,47 @@
         document = config(self._version, routes, tenants=workspaces)
         await self._store.put("keyed.op", "config", document)
 
-    async def _all_ready(self) -> None:
+    async def _wait_until_ready(self) -> None:
         deadline = asyncio.get_running_loop().time() + START_SECONDS
         waiting = list(self._gateways)
         while waiting and asyncio.get_running_loop().time() < deadline:
             waiting = [one for one in waiting if not await one.ready()]
             await asyncio.sleep(0.05)
         for gateway in waiting:
-            text = f"{gateway.name} is not ready, {gateway.standing}"
-            self._tally.violate(Promise.BACK, text)
+            text = f"{gateway.name} is not ready: {gateway.process_state}"
+            self._checker.report_violation(Property.BACK, text)
 
     async def _check_end(self) -> None:
-        """Find every gateway at work, and kept turns to go on from."""
-        await self._all_ready()
+        """Check that gateways are ready and that retained turns can be continued."""
+        await self._wait_until_ready()
         caller = self._callers[0]
-        lines = [
-            line
+        conversations = [
+            conversation
             for one in self._callers
-            for line in one.lines
-            if line.kept and line.previous and line.counted < line.budget / 2
+            for conversation in one.conversations
+            if conversation.retained
+            and conversation.previous
+            and conversation.counted < conversation.budget / 2
         ]
-        for line in lines[-LINES_CHECKED:]:
-            await self._check_line(caller, line)
+        for conversation in conversations[-CONVERSATIONS_CHECKED:]:
+            await self._check_conversation(caller, conversation)
         answer = await caller.tool("/safe/")
         if not answer.served:
-            self._tally.violate(Promise.BACK, f"a tool is answered {answer.status}")
+            self._checker.report_violation(
+                Property.BACK, f"a service call got status {answer.status}"
+            )
 
-    async def _check_line(self, caller: Caller, line: Line) -> None:
-        before = line.tokens
-        if not await caller.turn(line) and line.tokens == before:
-            text = f"{line.program} can't go on from {line.previous}"
-            self._tally.violate(Promise.BACK, text)
+    async def _check_conversation(
+        self, caller: Caller, conversation: Conversation
+    ) -> None:
+        before = conversation.tokens
+        if not await caller.turn(conversation) and conversation.tokens == before:
+            text = f"{conversation.program} can't continue {conversation.previous}"
+            self._checker.report_violation(Property.BACK, text)
 
 
 def run_seed(plan: Plan, folder: Path | None = None) -> Report:
-    """Run one seed; the lines of gateways are written to the folder."""
-    where = folder or Path(tempfile.mkdtemp(prefix="soak-"))
-    where.mkdir(parents=True, exist_ok=True)
-    return asyncio.run(Soak(plan=plan, folder=where).run())
+    """Run one seed; the gateways write their logs to the folder."""
+    log_folder = folder or Path(tempfile.mkdtemp(prefix="soak-"))
+    log_folder.mkdir(parents=True, exist_ok=True)
+    return asyncio.run(Soak(plan=plan, folder=log_folder).run())
--- a/sequoiaarch/tests/platform/soak/small.py
+++ b/sequoiaarch/tests/platform/soak/small.py
@@ -1,4 +1,4 @@
-"""Run programs whose budget has room for one turn or two."""
+"""Run programs whose budget covers only one or two turns."""
 
 from __future__ import annotations
 
@@ -6,26 +6,26 @@
 import random
 from collections.abc import Callable
 
-from .callers import BUDGET_SPENT, Answer, Caller, Line
+from .callers import BUDGET_EXHAUSTED, Answer, Caller, Conversation
 from .gateways import Gateway
-from .tally import Promise, Tally
-from .targets import MOST_TOKENS
+from .property_checker import Property, PropertyChecker
+from .targets import MAX_TOKENS
 
-BUDGET = int(1.6 * MOST_TOKENS)
-# What is held for a turn is held two seconds longer at most. Seconds.
+BUDGET = int(1.6 * MAX_TOKENS)
+# Seconds. Tokens allocated to a turn are released two seconds later at the latest.
 DEADLINE = 1.5
-# Links are harmed for three seconds at most; what was held meanwhile is returned
-# within two. Seconds.
-HELD_BOUND = 6.0
-HELD = b"the budget is held"
-PAUSE = (0.0, 0.2)
+# Seconds. A link fault lasts three seconds at most, and tokens held during it are
+# released within two.
+MAX_HELD_SECONDS = 6.0
+HELD_REASON = b"the budget is held"
+PROGRAM_INTERVAL = (0.0, 0.2)
 
 
-class SmallCaller(Caller):
-    """Come back with one turn at a time until it is served.
+class SmallBudgetCaller(Caller):
+    """Runs one turn at a time, and reports a refusal while the budget has room.
 
-    What a process was granted that was lost, or kept from the store, may be missing
-    from a budget. Programs that lived through that are not judged.
+    Tokens granted to a process that was killed, or could not reach the store, may
+    count as used. Programs during which that happened are not checked.
     """
 
     def __init__(
@@ -33,57 +33,60 @@
         *,
         name: str,
         gateways: list[Gateway],
-        tally: Tally,
+        checker: PropertyChecker,
         rng: random.Random,
         undisturbed_since: Callable[[], float],
     ) -> None:
         super().__init__(
-            name=name, gateways=gateways, tally=tally, rng=rng, deadline=DEADLINE
+            name=name, gateways=gateways, checker=checker, rng=rng, deadline=DEADLINE
         )
         self._undisturbed_since = undisturbed_since
-        self._begun = 0.0
+        self._started_at = 0.0
         self._held_since: float | None = None
 
     async def program(self, until: float) -> None:
-        """Run turns until the budget has no room, or is said to have none."""
+        """Run turns until the budget is used up or the program is refused."""
         self._count += 1
-        line = Line(program=f"{self._name}-p{self._count}", budget=BUDGET, kept=True)
-        self._begun = asyncio.get_running_loop().time()
+        conversation = Conversation(
+            program=f"{self._name}-p{self._count}", budget=BUDGET, retained=True
+        )
+        self._started_at = asyncio.get_running_loop().time()
         self._held_since = None
-        number = 0
-        while _has_room(line) and asyncio.get_running_loop().time() < until:
-            answer = await self._turn_once(line, line)
-            if self._refused(line, answer):
+        retries = 0
+        while _has_room(conversation) and asyncio.get_running_loop().time() < until:
+            answer = await self._turn_once(conversation, conversation)
+            if self._gives_up(conversation, answer):
                 break
-            number = 0 if answer.served else number + 1
-            if number:
-                await asyncio.sleep(self._pause(answer, number))
-        self._tally.counts["small programs"] += 1
-        self._tally.counts["small programs judged"] += self._undisturbed()
-        await asyncio.sleep(self._rng.uniform(*PAUSE))
+            retries = 0 if answer.served else retries + 1
+            if retries:
+                await asyncio.sleep(self._retry_delay(answer, retries))
+        self._checker.counts["small programs"] += 1
+        self._checker.counts["small programs judged"] += self._undisturbed()
+        await asyncio.sleep(self._rng.uniform(*PROGRAM_INTERVAL))
 
-    def _refused(self, line: Line, answer: Answer) -> bool:
-        """Return whether the program gives up, and judge whether it had to."""
+    def _gives_up(self, conversation: Conversation, answer: Answer) -> bool:
+        """Return whether the answer ends the program; report a wrong refusal."""
         now = asyncio.get_running_loop().time()
-        if HELD not in answer.body:
+        if HELD_REASON not in answer.body:
             self._held_since = None
         elif self._held_since is None:
             self._held_since = now
         held = 0.0 if self._held_since is None else now - self._held_since
-        if answer.status != BUDGET_SPENT and held < HELD_BOUND:
+        if answer.status != BUDGET_EXHAUSTED and held < MAX_HELD_SECONDS:
             return False
-        self._tally.counts["small programs refused"] += 1
+        self._checker.counts["small programs refused"] += 1
         if self._undisturbed():
             text = (
-                f"{line.program} is refused with {line.counted} of {line.budget} "
-                f"counted, held for {held:.1f} s: {answer.body!r} to {answer.attempt}"
+                f"{conversation.program} is refused with {conversation.counted} of "
+                f"{conversation.budget} tokens used, held for {held:.1f} s: "
+                f"{answer.body!r} to {answer.attempt}"
             )
-            self._tally.violate(Promise.ROOM, text)
+            self._checker.report_violation(Property.ROOM, text)
         return True
 
     def _undisturbed(self) -> bool:
-        return self._begun > self._undisturbed_since()
+        return self._started_at > self._undisturbed_since()
 
 
-def _has_room(line: Line) -> bool:
-    return line.counted + MOST_TOKENS <= line.budget
+def _has_room(conversation: Conversation) -> bool:
+    return conversation.counted + MAX_TOKENS <= conversation.budget
--- a/sequoiaarch/tests/platform/soak/targets.py
+++ b/sequoiaarch/tests/platform/soak/targets.py
@@ -1,4 +1,4 @@
-"""Answer as engines and services do, with troubles, and note every run."""
+"""Stand in for engines and services that fail at times, and record every run."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
     stream_head,
     whole_answer,
 )
-from ..site import EVENT_TOKENS, attempt_of, events_of, registration
+from ..deployment import EVENT_TOKENS, attempt_of, events_of, registration
+from .property_checker import Property, PropertyChecker, TargetRun
 from .proxy import LOOPBACK
-from .tally import Promise, Run, Tally
 
-MOST_EVENTS = 6
-MOST_TOKENS = MOST_EVENTS * EVENT_TOKENS
+MAX_EVENTS = 6
+MAX_TOKENS = MAX_EVENTS * EVENT_TOKENS
 EVENT_SECONDS = 0.01
-# A share of requests finds its target full.
+# Share of requests that a target refuses as overloaded.
 FULL_SHARE = 0.02
-# A drain reaches every gateway that reads the store within two seconds; one
-# more for a busy machine. Seconds.
-DRAIN_BOUND = 3.0
+# Seconds. Gateways that can reach the store learn of a drain within two; the third
+# allows for a busy machine.
+MAX_DRAIN_DELAY = 3.0
 
 
-class Trouble(Enum):
-    """Say how a target treats the requests that it runs."""
+class TargetFault(Enum):
+    """What goes wrong with the answers of a target."""
 
     NONE = "answers"
     RESET = "resets the connection before it answers"
-    BROKEN = "resets the connection within its answer"
-    MUTE = "answers nothing and keeps the connection"
-    EXTRA = "sends a second answer after the first"
+    TRUNCATED = "resets the connection within its answer"
+    NO_ANSWER = "answers nothing and keeps the connection"
+    EXTRA_ANSWER = "sends a second answer after the first"
 
 
 def event_count(attempt: str) -> int:
-    """Return how many events an attempt's stream has."""
-    return 1 + sum(attempt.encode()) % MOST_EVENTS
+    """Return how many events the answer to an attempt has."""
+    return 1 + sum(attempt.encode()) % MAX_EVENTS
 
 
 class SoakTarget:
-    """Hold one target; a replacement gets a new instance on the same port."""
+    """Target that can be replaced by a new instance on the same port."""
 
     def __init__(
         self,
@@ -55,44 +55,44 @@
         engine: bool,
         zone: str,
         store: KeyedStore,
-        tally: Tally,
+        checker: PropertyChecker,
         rng: random.Random,
-        calm_since: Callable[[], float],
+        store_available_since: Callable[[], float],
     ) -> None:
-        self.trouble = Trouble.NONE
+        self.fault = TargetFault.NONE
         self._service = service
         self._engine = engine
         self._zone = zone
         self._store = store
-        self._tally = tally
+        self._checker = checker
         self._rng = rng
-        self._calm_since = calm_since
+        self._store_available_since = store_available_since
         self._count = 0
         self._instance = ""
         self._drained_at: float | None = None
         self._stand_in = TargetStandIn(behaviour=self._behave)
 
     async def start(self) -> None:
-        """Listen and register."""
+        """Listen and register the first instance."""
         await self._stand_in.start()
         await self.replace()
 
     async def stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         await self._stand_in.stop()
 
     async def replace(self) -> None:
-        """Become a new instance at the same address."""
-        before = self._instance
+        """Register a new instance at the same address, in place of the old one."""
+        previous = self._instance
         self._count += 1
         self._instance = f"i-{self._service}-{self._stand_in.port}-{self._count}"
         self._drained_at = None
-        if before:
-            await self._store.put("keyed.servers", before, b"")
+        if previous:
+            await self._store.put("keyed.servers", previous, b"")
         await self._register("ready")
 
     async def drain(self) -> None:
-        """Announce that this instance leaves."""
+        """Register this instance as draining."""
         await self._register("draining")
         self._drained_at = asyncio.get_running_loop().time()
 
@@ -104,38 +104,42 @@
 
     async def _behave(self, exchange: TargetExchange) -> None:
         attempt = attempt_of(exchange)
-        named = (exchange.request.header(b"x-expect-instance") or b"").decode()
-        if named != self._instance:
+        expected_instance = (
+            exchange.request.header(b"x-expect-instance") or b""
+        ).decode()
+        if expected_instance != self._instance:
             exchange.send(whole_answer(b"", status=421))
             return
         if self._rng.random() < FULL_SHARE:
-            full = (("X-Not-Executed", "1"), ("X-Attempt-Id", attempt))
-            exchange.send(whole_answer(b"", status=503, headers=full))
+            headers = (("X-Not-Executed", "1"), ("X-Attempt-Id", attempt))
+            exchange.send(whole_answer(b"", status=503, headers=headers))
             return
-        self._check_drain(attempt)
-        run = Run(
+        self._check_draining(attempt)
+        run = TargetRun(
             instance=self._instance,
             body=exchange.request.body,
             at=asyncio.get_running_loop().time(),
             workspace=_header(exchange, b"x-tenant"),
             key=_header(exchange, b"api-key"),
         )
-        self._tally.ran(attempt, run)
+        self._checker.record_run(attempt, run)
         await self._answer(exchange, attempt)
 
-    def _check_drain(self, attempt: str) -> None:
+    def _check_draining(self, attempt: str) -> None:
         if self._drained_at is None:
             return
         now = asyncio.get_running_loop().time()
-        if now > max(self._drained_at, self._calm_since()) + DRAIN_BOUND:
-            self._tally.violate(Promise.LEAVING, f"{attempt} at {self._instance}")
+        if now > max(self._drained_at, self._store_available_since()) + MAX_DRAIN_DELAY:
+            self._checker.report_violation(
+                Property.LEAVING, f"{attempt} at draining {self._instance}"
+            )
 
     async def _answer(self, exchange: TargetExchange, attempt: str) -> None:
-        trouble = self.trouble
-        if trouble is Trouble.RESET:
+        fault = self.fault
+        if fault is TargetFault.RESET:
             exchange.reset()
             return
-        if trouble is Trouble.MUTE:
+        if fault is TargetFault.NO_ANSWER:
             await exchange.left.wait()
             return
         headers = (("X-Attempt-Id", attempt), ("X-Server-Stamp", self._instance))
@@ -145,15 +149,15 @@
             for event in events_of(attempt, event_count(attempt)):
                 exchange.send(chunk(event))
                 await asyncio.sleep(EVENT_SECONDS)
-                if trouble is Trouble.BROKEN:
+                if fault is TargetFault.TRUNCATED:
                     exchange.reset()
                     return
             exchange.send(chunk(b""))
         else:
             exchange.send(whole_answer(f"done {attempt}".encode(), headers=headers))
-        if trouble is Trouble.EXTRA:
-            other = (("X-Attempt-Id", "other"), ("X-Server-Stamp", "other"))
-            exchange.send(whole_answer(b"another's", headers=other))
+        if fault is TargetFault.EXTRA_ANSWER:
+            extra_headers = (("X-Attempt-Id", "other"), ("X-Server-Stamp", "other"))
+            exchange.send(whole_answer(b"another's", headers=extra_headers))
 
 
 def _header(exchange: TargetExchange, name: bytes) -> str | None:
--- a/sequoiaarch/tests/platform/soak_tests.py
+++ b/sequoiaarch/tests/platform/soak_tests.py
@@ -1,4 +1,4 @@
-"""Run short seeds of the soak, and show that it catches planted faults."""
+"""Test short seeds of the soak, and that it detects planted faults."""
 
 from __future__ import annotations
 
@@ -17,47 +17,43 @@
 GATEWAYS = 3
 PLANTED_MODULE = "sequoiaarch.tests.platform.soak.planted"
 
+# Last lines of each gateway log that are printed on a violation.
+LOG_LINES_SHOWN = 20
 
-# Lines of each gateway that a broken promise is explained with.
-LINES_SHOWN = 20
 
-
-def run(plan: Plan, show: Callable[[Path], None] = lambda folder: None) -> Report:
-    """Run a seed in a folder of its own; show the folder if a promise broke."""
+def run(plan: Plan, show_logs: Callable[[Path], None] = lambda folder: None) -> Report:
+    """Run a seed in a temporary folder; show its logs on a violation."""
     with tempfile.TemporaryDirectory() as folder:
         report = run_seed(plan, Path(folder))
         if report.broken:
-            show(Path(folder))
+            show_logs(Path(folder))
         return report
 
 
-def print_last_lines(folder: Path) -> None:
-    """Print what each gateway said last: the folder goes with the test."""
+def print_log_tails(folder: Path) -> None:
+    """Print the last log lines of each gateway."""
     for log in sorted(folder.glob("*.log")):
-        lines = log.read_text(errors="replace").splitlines()[-LINES_SHOWN:]
+        lines = log.read_text(errors="replace").splitlines()[-LOG_LINES_SHOWN:]
         print(f"{log.name}:", *lines, sep="\n")
 
 
 class SoakTests(unittest.TestCase):
-    """Run real processes under faults."""
+    """Run gateway processes under faults."""
 
     def test_short_seed(self) -> None:
-        """Keep every promise while gateways die, freeze and lose the store."""
+        """Keep all properties while gateways are killed, frozen or cut off."""
         plan = Plan(
             seed=1, seconds=SECONDS, link_seconds=LINK_SECONDS, gateways=GATEWAYS
         )
-        report = run(plan, print_last_lines)
+        report = run(plan, print_log_tails)
         self.assertEqual(report.broken, [])
         self.assertGreater(report.counts["turns"], 0)
         self.assertGreater(report.counts["small programs judged"], 0)
         self.assertGreater(report.counts["harmed between gateways"], 0)
 
     def test_planted_fault_is_caught(self) -> None:
-        """See that kept turns are missing when a gateway skips their commit.
-
-        A soak that can't tell a broken system from a sound one proves nothing.
-        """
-        planting = {planted.VARIABLE: planted.commit_skipped.__name__}
+        """Report missing turns if gateways skip the commit of turns."""
+        environment = {planted.FAULT_VARIABLE: planted.commit_skipped.__name__}
         plan = Plan(
             seed=1,
             seconds=SECONDS,
@@ -65,6 +61,6 @@
             gateways=GATEWAYS,
             module=PLANTED_MODULE,
         )
-        with mock.patch.dict(os.environ, planting):
+        with mock.patch.dict(os.environ, environment):
             report = run(plan)
         self.assertTrue(any(one.startswith("HISTORY") for one in report.broken))
