--- a/sequoiaarch/tests/platform/__init__.py
+++ b/sequoiaarch/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Test package platform."""
+"""Test the platform adapter and the whole request path."""
--- a/sequoiaarch/tests/platform/deployment.py
+++ b/sequoiaarch/tests/platform/deployment.py
@@ -1,4 +1,4 @@
-"""Build a small site: a store, targets and ingress daemons in one process."""
+"""Run a store, targets and ingress daemons in one process for tests."""
 
 from __future__ import annotations
 
@@ -27,18 +27,18 @@
     whole_answer,
 )
 
-PATIENCE = 15.0
+TIMEOUT = 15.0
 HOST = "site.example"
 ENGINES = "engines"
 TOOLS = "tools"
 EVENT_TOKENS = 10
-# Turns name a most of 100 tokens.
-EVENTS_OF_MOST = 10
+# Turns request at most 100 tokens.
+MAX_EVENTS = 10
 LOOPBACK = "127.0.0.1"
 
 
-def route(prefix: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+def route(prefix: str, kind: str, service: str, **extra: Any) -> dict[str, Any]:
+    """Return a route as a configuration entry."""
     return {
         "name": f"r-{prefix.strip('/')}",
         "host": HOST,
@@ -49,12 +49,12 @@
         "priority": 1,
         "service": service,
         "maxAttempts": 1,
-        **more,
+        **extra,
     }
 
 
-def registration(service: str, address: str, **more: Any) -> dict[str, Any]:
-    """Return a target's registration as it writes it itself."""
+def registration(service: str, address: str, **extra: Any) -> dict[str, Any]:
+    """Return the registration that a target writes to the store."""
     return {
         "service": service,
         "address": address,
@@ -64,17 +64,17 @@
         "state": "ready",
         "coldRemainingMs": 0,
         "sequence": 1,
-        **more,
+        **extra,
     }
 
 
-def tenant(name: str, *keys: str, **more: Any) -> dict[str, Any]:
-    """Return a workspace as the operator writes it."""
-    return {"name": name, "apiKeys": list(keys), "priority": 1, **more}
+def tenant(name: str, *keys: str, **extra: Any) -> dict[str, Any]:
+    """Return a workspace as a configuration entry."""
+    return {"name": name, "apiKeys": list(keys), "priority": 1, **extra}
 
 
-def config(version: int, routes: list[dict[str, Any]], **more: Any) -> bytes:
-    """Return a configuration as the operator writes it."""
+def config(version: int, routes: list[dict[str, Any]], **extra: Any) -> bytes:
+    """Return an encoded configuration document."""
     engine = {"slots": 8, "kvCapacityTokens": 90000, "chunkTokens": EVENT_TOKENS}
     services = [
         {"name": ENGINES, "healthPath": "/h", "maxConns": 100, "runtime": engine},
@@ -85,7 +85,7 @@
         "routes": routes,
         "services": services,
         "limits": {"idleTimeoutMs": 15000},
-        **more,
+        **extra,
     }
     return json.dumps(document).encode()
 
@@ -100,16 +100,16 @@
 
 @dataclass(kw_only=True)
 class Answer:
-    """Hold an answer as the caller got it; `whole` says that its end came."""
+    """Answer to a caller; `complete` is set if it arrived to its end."""
 
     status: int
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = True
+    complete: bool = True
 
 
 def events_of(attempt: str, count: int = 3) -> list[bytes]:
-    """Return the events of an engine's answer."""
+    """Return the encoded events of an engine's answer."""
     return [
         f"id: {number}\ndata: {attempt}-{number}\n\n".encode()
         for number in range(1, count + 1)
@@ -117,12 +117,12 @@
 
 
 def attempt_of(exchange: TargetExchange) -> str:
-    """Return the id of the attempt that a target got."""
+    """Return the attempt id of a request to a target."""
     return (exchange.request.header(b"x-attempt-id") or b"").decode()
 
 
 async def stream_answer(exchange: TargetExchange) -> None:
-    """Answer with a stream of events."""
+    """Answer with a stream of three events."""
     attempt = attempt_of(exchange)
     exchange.send(stream_head((("X-Attempt-Id", attempt), ("X-Server-Stamp", "s"))))
     for event in events_of(attempt):
@@ -132,10 +132,10 @@
 
 
 async def longest_answer(exchange: TargetExchange) -> None:
-    """Answer with as many events as a turn may have."""
+    """Answer with as many events as the limit of a turn allows."""
     attempt = attempt_of(exchange)
     exchange.send(stream_head((("X-Attempt-Id", attempt), ("X-Server-Stamp", "s"))))
-    for event in events_of(attempt, EVENTS_OF_MOST):
+    for event in events_of(attempt, MAX_EVENTS):
         exchange.send(chunk(event))
     exchange.send(chunk(b""))
 
@@ -147,8 +147,8 @@
     exchange.send(whole_answer(f"done {attempt}".encode(), headers=headers))
 
 
-async def not_run(exchange: TargetExchange) -> None:
-    """Refuse as a full target does."""
+async def not_run_answer(exchange: TargetExchange) -> None:
+    """Refuse the request as an overloaded target does."""
     headers = (("X-Not-Executed", "1"),)
     exchange.send(whole_answer(b"", status=503, headers=headers))
 
@@ -157,7 +157,7 @@
 
 
 class DeploymentTestCase(unittest.IsolatedAsyncioTestCase):
-    """Run a site for each test."""
+    """Runs a deployment for each test."""
 
     async def asyncSetUp(self) -> None:
         """Start the store."""
@@ -169,7 +169,7 @@
         await self.store.put("keyed.op", "config", config(1, ROUTES))
 
     async def asyncTearDown(self) -> None:
-        """End the daemons and targets."""
+        """Stop the daemons and targets."""
         for daemon in self.daemons.values():
             await daemon.close()
         for target in self.targets.values():
@@ -186,7 +186,7 @@
         return target
 
     async def register(self, name: str, service: str, state: str = "ready") -> None:
-        """Write a target's registration."""
+        """Write a target's registration to the store."""
         address = f"{LOOPBACK}:{self.targets[name].port}"
         entry = registration(service, address, state=state)
         await self.store.put("keyed.servers", name, json.dumps(entry).encode())
@@ -197,7 +197,7 @@
         *,
         peers: Peers | None = None,
         events: EventLog | None = None,
-        **more: Any,
+        **extra: Any,
     ) -> IngressDaemon:
         """Start an ingress daemon and wait until it is ready."""
         client = self.store.client()
@@ -213,7 +213,7 @@
             descriptors=1000,
             stop_timeout=8.0,
             store=StoreOptions(address=(LOOPBACK, 0)),
-            **more,
+            **extra,
         )
         daemon = IngressDaemon(
             options=options,
@@ -226,13 +226,13 @@
         self.clients[name] = client
         self.daemons[name] = daemon
         await daemon.start()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT):
             while not daemon.ready:
                 await asyncio.sleep(0.01)
         return daemon
 
     def fresh_id(self) -> str:
-        """Return the id of a new attempt."""
+        """Return a new attempt id."""
         self._ids += 1
         return f"{self._ids:016x}"
 
@@ -246,7 +246,7 @@
         method: str = "POST",
         **headers: str,
     ) -> Answer:
-        """Send a request and return its answer; 0 where none came."""
+        """Send a request and return its answer, with status 0 if none arrived."""
         sent = [
             (b"Host", HOST.encode()),
             (b"X-Attempt-Id", (attempt or self.fresh_id()).encode()),
@@ -256,12 +256,12 @@
         message = RequestMessage(
             method=method.encode(), target=path.encode(), headers=sent, body=body
         )
-        link = await connect((LOOPBACK, daemon.front.port), timeout=PATIENCE)
+        connection = await connect((LOOPBACK, daemon.front.port), timeout=TIMEOUT)
         try:
-            async with asyncio.timeout(PATIENCE):
-                return await _exchange(link, message)
+            async with asyncio.timeout(TIMEOUT):
+                return await _exchange(connection, message)
         finally:
-            link.abort()
+            connection.abort()
 
     async def turn(
         self,
@@ -273,11 +273,11 @@
         previous: str | None = None,
         budget: int = 1000,
         path: str = "/kept/a",
-        **more: str,
+        **extra: str,
     ) -> Answer:
         """Run a turn of a program."""
         if previous:
-            more["X_Previous_Turn"] = previous
+            extra["X_Previous_Turn"] = previous
         return await self.call(
             daemon,
             path,
@@ -287,22 +287,22 @@
             X_Token_Budget=str(budget),
             X_Token_Usage="10,100",
             X_Deadline_Ms="3000",
-            **more,
+            **extra,
         )
 
 
-async def _exchange(link: ClientConnection, message: RequestMessage) -> Answer:
-    answer = Answer(status=0, whole=False)
+async def _exchange(connection: ClientConnection, message: RequestMessage) -> Answer:
+    answer = Answer(status=0, complete=False)
     try:
-        await link.send(message)
-        head = await link.read_head()
+        await connection.send(message)
+        head = await connection.read_head()
         answer.status = head.status
         answer.headers = {
             name.decode().lower(): value.decode() for name, value in head.headers
         }
-        while (part := await link.read_body_part()) is not None:
+        while (part := await connection.read_body_part()) is not None:
             answer.body += part
-        answer.whole = True
+        answer.complete = True
     except ExchangeError:
-        answer.whole = False
+        answer.complete = False
     return answer
--- a/sequoiaarch/tests/platform/path_tests.py
+++ b/sequoiaarch/tests/platform/end_to_end_tests.py
@@ -1,4 +1,4 @@
-"""Test the whole path of a request, from callers to targets and the store."""
+"""Test the path of requests between callers, targets and the store."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     config,
     events_of,
     longest_answer,
-    not_run,
+    not_run_answer,
     route,
     stream_answer,
     tool_answer,
 )
 
 
-class PlainTests(DeploymentTestCase):
-    """Test calls of plain services."""
+class ServiceCallTests(DeploymentTestCase):
+    """Call services."""
 
-    async def test_both_kinds(self) -> None:
-        """Answer with the target's status, headers and body."""
+    async def test_safe_and_unsafe_routes(self) -> None:
+        """Return the target's status, headers and body."""
         await self.add_target("i-1", TOOLS, tool_answer)
         daemon = await self.add_daemon("a")
         for path in ("/safe/x", "/once/x"):
@@ -40,13 +40,13 @@
             self.assertEqual(answer.headers["x-server-stamp"], "s")
 
     async def test_unknown_route(self) -> None:
-        """Refuse what no route matches."""
+        """Refuse a request that matches no route."""
         await self.add_target("i-1", TOOLS, tool_answer)
         daemon = await self.add_daemon("a")
         self.assertEqual((await self.call(daemon, "/other/x")).status, 404)
 
-    async def test_held_memory_is_not_the_callers(self) -> None:
-        """Pass on no header by which a caller could hold engine memory."""
+    async def test_memory_headers_are_not_forwarded(self) -> None:
+        """Forward no header that reserves engine memory."""
         target = await self.add_target("i-1", TOOLS, tool_answer)
         daemon = await self.add_daemon("a")
         await self.call(daemon, "/once/x", X_Pin_Ms="4000", Kv_From="a/b", X_Hold="h")
@@ -58,8 +58,8 @@
         )
 
     async def test_another_target_after_refusal(self) -> None:
-        """Try another target after one that says it did not run the request."""
-        await self.add_target("i-1", TOOLS, not_run)
+        """Use another target after one that states it did not run the request."""
+        await self.add_target("i-1", TOOLS, not_run_answer)
         daemon = await self.add_daemon("a")
         answer = await self.call(daemon, "/once/x")
         self.assertEqual(answer.status, 429)
@@ -69,85 +69,80 @@
             while (await self.call(daemon, "/once/x")).status != 200:
                 await asyncio.sleep(0.05)
 
-    async def test_answer_lost(self) -> None:
-        """Run a request that can't be repeated once, and say nothing false.
+    async def test_unsafe_request_is_not_retried(self) -> None:
+        """Send an unsafe request only once if its connection is reset.
 
-        The target takes the request and its connection is reset without an
-        answer. The request may have run, so it goes nowhere else, and the
-        answer is no promise that it has not.
+        The request may have run, so the answer must not state the opposite.
         """
 
-        async def lose(exchange: TargetExchange) -> None:
+        async def reset_connection(exchange: TargetExchange) -> None:
             exchange.reset()
 
-        first = await self.add_target("i-1", TOOLS, lose)
-        second = await self.add_target("i-2", TOOLS, lose)
+        first = await self.add_target("i-1", TOOLS, reset_connection)
+        second = await self.add_target("i-2", TOOLS, reset_connection)
         daemon = await self.add_daemon("a")
         answer = await self.call(daemon, "/once/x")
         self.assertEqual(answer.status, 502)
         self.assertEqual(len(first.exchanges) + len(second.exchanges), 1)
 
-    async def test_safe_answer_lost(self) -> None:
-        """Send a safe request once more after its answer was lost."""
-        lost = asyncio.Event()
+    async def test_safe_request_is_retried(self) -> None:
+        """Retry a safe request after its connection was reset."""
+        reset_done = asyncio.Event()
 
-        async def lose_first(exchange: TargetExchange) -> None:
-            if lost.is_set():
+        async def reset_once(exchange: TargetExchange) -> None:
+            if reset_done.is_set():
                 await tool_answer(exchange)
                 return
-            lost.set()
+            reset_done.set()
             exchange.reset()
 
-        await self.add_target("i-1", TOOLS, lose_first)
-        await self.add_target("i-2", TOOLS, lose_first)
+        await self.add_target("i-1", TOOLS, reset_once)
+        await self.add_target("i-2", TOOLS, reset_once)
         daemon = await self.add_daemon("a")
         self.assertEqual((await self.call(daemon, "/safe/x")).status, 200)
 
-    async def test_safe_answer_never_comes(self) -> None:
-        """Ask another target when one keeps the connection and says nothing.
+    async def test_safe_request_is_retried_after_silence(self) -> None:
+        """Retry a safe request at another target if the first never answers."""
+        requested = asyncio.Event()
 
-        The target runs the request and its answer is lost without a reset.
-        The caller would wait until its deadline, and its program fails.
-        """
-        asked = asyncio.Event()
-
-        async def first_is_mute(exchange: TargetExchange) -> None:
-            if asked.is_set():
+        async def silent_once(exchange: TargetExchange) -> None:
+            if requested.is_set():
                 await tool_answer(exchange)
                 return
-            asked.set()
+            requested.set()
             await exchange.left.wait()
 
-        await self.add_target("i-1", TOOLS, first_is_mute)
-        await self.add_target("i-2", TOOLS, first_is_mute)
+        await self.add_target("i-1", TOOLS, silent_once)
+        await self.add_target("i-2", TOOLS, silent_once)
         daemon = await self.add_daemon("a")
         answer = await self.call(daemon, "/safe/x")
         self.assertEqual(answer.status, 200)
 
-    async def test_mute_target_and_unsafe_request(self) -> None:
-        """Ask nobody else where the request may have run and must not again."""
+    async def test_unsafe_request_is_not_retried_after_silence(self) -> None:
+        """Send an unsafe request only once if the target never answers."""
 
-        async def mute(exchange: TargetExchange) -> None:
+        async def stay_silent(exchange: TargetExchange) -> None:
             await exchange.left.wait()
 
-        first = await self.add_target("i-1", TOOLS, mute)
-        second = await self.add_target("i-2", TOOLS, mute)
+        first = await self.add_target("i-1", TOOLS, stay_silent)
+        second = await self.add_target("i-2", TOOLS, stay_silent)
         daemon = await self.add_daemon("a")
         answer = await self.call(daemon, "/once/x", X_Deadline_Ms="1000")
         self.assertEqual(answer.status, 504)
         self.assertEqual(len(first.exchanges) + len(second.exchanges), 1)
 
     async def test_retry_budget(self) -> None:
-        """Repeat a few requests of a service that loses every answer, not all.
+        """Limit the share of retries while all requests to a service fail.
 
-        Every target resets every request. Sending each one twice would double
-        the load of a service that is in trouble already.
+        Retrying each of them would double the load of a failing service.
         """
 
-        async def lose(exchange: TargetExchange) -> None:
+        async def reset_connection(exchange: TargetExchange) -> None:
             exchange.reset()
 
-        targets = [await self.add_target(f"i-{one}", TOOLS, lose) for one in (1, 2)]
+        targets = [
+            await self.add_target(f"i-{one}", TOOLS, reset_connection) for one in (1, 2)
+        ]
         daemon = await self.add_daemon("a")
         calls = 60
         for _ in range(calls):
@@ -157,26 +152,26 @@
         self.assertGreater(sent, calls)
 
     async def test_route_timeout(self) -> None:
-        """Give the final answer at the route's time limit."""
+        """Answer 504 and close the connection to the target at the route's timeout."""
 
         async def hang(exchange: TargetExchange) -> None:
             await exchange.left.wait()
 
         target = await self.add_target("i-1", TOOLS, hang)
         daemon = await self.add_daemon("a")
-        slow = [*ROUTES, route("/slow/", "unsafe", TOOLS, timeoutMs=100)]
-        await self.store.put("keyed.op", "config", config(2, slow))
+        routes = [*ROUTES, route("/slow/", "unsafe", TOOLS, timeoutMs=100)]
+        await self.store.put("keyed.op", "config", config(2, routes))
         async with asyncio.timeout(10):
             while (await self.call(daemon, "/slow/x")).status != 504:
                 await asyncio.sleep(0.01)
             await target.exchanges[0].left.wait()
 
     async def test_older_configuration(self) -> None:
-        """Keep the newest configuration when an older one is read again."""
+        """Ignore a configuration with a lower version than the current one."""
         await self.add_target("i-1", TOOLS, tool_answer)
         daemon = await self.add_daemon("a")
-        more = [*ROUTES, route("/more/", "safe", TOOLS)]
-        await self.store.put("keyed.op", "config", config(5, more))
+        routes = [*ROUTES, route("/more/", "safe", TOOLS)]
+        await self.store.put("keyed.op", "config", config(5, routes))
         await self.store.put("keyed.op", "config", config(3, ROUTES))
         while (await self.call(daemon, "/more/x")).status != 200:
             await asyncio.sleep(0.01)
@@ -184,7 +179,7 @@
         self.assertEqual((await self.call(daemon, "/more/x")).status, 200)
 
     async def test_draining_target(self) -> None:
-        """Send nothing more to a target that drains."""
+        """Send no more requests to a draining target."""
         target = await self.add_target("i-1", TOOLS, tool_answer)
         daemon = await self.add_daemon("a")
         await self.register("i-1", TOOLS, state="draining")
@@ -196,13 +191,12 @@
 
 
 class TurnTests(DeploymentTestCase):
-    """Test turns of programs."""
+    """Run turns of programs."""
 
-    async def test_chain_over_two_daemons(self) -> None:
-        """Give the target the whole prompt, wherever the turns arrived.
+    async def test_turns_alternate_between_daemons(self) -> None:
+        """Send the complete prompt to the target for turns at alternating daemons.
 
-        Each turn arrives at the other daemon a moment after the last one's
-        end, with its new input only.
+        Callers send only the new input of each turn.
         """
         target = await self.add_target("i-1", ENGINES, stream_answer)
         first = await self.add_daemon("a")
@@ -216,7 +210,7 @@
         self.assertEqual(target.exchanges[2].request.body, prompt)
 
     async def test_turn_without_a_budget(self) -> None:
-        """Keep a turn whose caller names no budget."""
+        """Retain a turn whose caller sets no budget."""
         await self.add_target("i-1", ENGINES, stream_answer)
         daemon = await self.add_daemon("a")
         answer = await self.call(
@@ -227,15 +221,15 @@
         self.assertEqual(answer.status, 200)
 
     async def test_unknown_turn(self) -> None:
-        """Refuse to continue a turn that never was."""
+        """Refuse to continue a turn that doesn't exist."""
         target = await self.add_target("i-1", ENGINES, stream_answer)
         daemon = await self.add_daemon("a")
         answer = await self.turn(daemon, b"one", previous="nothing")
         self.assertEqual(answer.status, 404)
         self.assertEqual(target.exchanges, [])
 
-    async def test_broken_turn(self) -> None:
-        """Keep no turn whose stream broke off, and end it visibly."""
+    async def test_truncated_turn(self) -> None:
+        """Retain no turn whose stream broke off, and cut off its answer too."""
 
         async def break_off(exchange: TargetExchange) -> None:
             attempt = attempt_of(exchange)
@@ -247,95 +241,93 @@
         target = await self.add_target("i-1", ENGINES, break_off)
         daemon = await self.add_daemon("a")
         answer = await self.turn(daemon, b"one", attempt="t1")
-        self.assertFalse(answer.whole)
+        self.assertFalse(answer.complete)
         target.behaviour = stream_answer
         answer = await self.turn(daemon, b"two", previous="t1")
         self.assertEqual(answer.status, 404)
 
-    async def test_turn_that_outgrows_its_part(self) -> None:
-        """Stream all that a turn may generate on a budget of two such turns.
+    async def test_turn_exceeds_its_first_grant(self) -> None:
+        """Extend the grant of a turn during its stream, up to the budget.
 
-        A third of the turn's most is granted when it begins, and more beside the
-        stream. The caller gets it whole, the program has its two turns, and the
-        third is refused for its budget without having run.
+        Each turn starts with a grant for a third of its maximum. The budget covers two
+        turns; the third is refused and doesn't run.
         """
 
         target = await self.add_target("i-1", ENGINES, longest_answer)
         daemon = await self.add_daemon("a")
         answers = [await self.turn(daemon, b"x", budget=200) for _ in range(3)]
         self.assertEqual([one.status for one in answers], [200, 200, 402])
-        self.assertTrue(all(one.whole for one in answers))
+        self.assertTrue(all(one.complete for one in answers))
         self.assertEqual(len(target.exchanges), 2)
 
-    async def test_stream_ends_while_more_is_asked_for(self) -> None:
-        """End what asks for more of a turn before the turn is written.
+    async def test_stream_ends_during_grant_request(self) -> None:
+        """Cancel a request for a larger grant before the turn is committed.
 
-        More is asked for after the third event, one event before it is needed, and
-        the stream ends there. A request for more that goes on would meet a turn that
-        has ended: whoever keeps it would be taken for lost. The caller gets all.
+        A request that goes on would find no open turn, and the gateway would treat the
+        delegate as lost.
         """
         steps: list[str] = []
-        asked = asyncio.Event()
+        requested = asyncio.Event()
         commit_content = LocalTurn.commit_content
 
-        async def never_covers(turn: LocalTurn, tokens: int) -> bool:
+        async def never_cover(turn: LocalTurn, tokens: int) -> bool:
             if turn.covers(tokens):
                 return True
             steps.append("asked")
-            asked.set()
+            requested.set()
             try:
                 await asyncio.Event().wait()
             finally:
                 steps.append("asks no more")
             return False
 
-        async def noted_commit(turn: LocalTurn, content: TurnContent) -> None:
+        async def record_commit(turn: LocalTurn, content: TurnContent) -> None:
             steps.append("written")
             await commit_content(turn, content)
 
-        async def ends_then(exchange: TargetExchange) -> None:
+        async def end_after_request(exchange: TargetExchange) -> None:
             attempt = attempt_of(exchange)
             exchange.send(stream_head((("X-Attempt-Id", attempt),)))
             for event in events_of(attempt):
                 exchange.send(chunk(event))
-            await asked.wait()
+            await requested.wait()
             exchange.send(chunk(b""))
 
-        await self.add_target("i-1", ENGINES, ends_then)
+        await self.add_target("i-1", ENGINES, end_after_request)
         daemon = await self.add_daemon("a")
         with (
-            mock.patch.object(LocalTurn, "cover", never_covers),
-            mock.patch.object(LocalTurn, "commit_content", noted_commit),
+            mock.patch.object(LocalTurn, "cover", never_cover),
+            mock.patch.object(LocalTurn, "commit_content", record_commit),
         ):
             answer = await self.turn(daemon, b"one", attempt="t1", budget=200)
         self.assertEqual(answer.body, b"".join(events_of("t1")))
         self.assertEqual(steps, ["asked", "asks no more", "written"])
 
     async def test_budget(self) -> None:
-        """Hand out no more than the budget, and run nothing after a refusal."""
+        """Send no more tokens than the budget, and run nothing after a refusal."""
         target = await self.add_target("i-1", ENGINES, stream_answer)
         daemons = [await self.add_daemon("a"), await self.add_daemon("b")]
         budget = 300
-        handed = 0
+        used_tokens = 0
         for number in range(40):
             answer = await self.turn(
                 daemons[number % 2], b"x", budget=budget, path="/free/a"
             )
             if answer.status == 402:
                 break
-            handed += answer.body.count(b"data:") * EVENT_TOKENS
-            # What a turn did not use comes back within a second.
-            await asyncio.sleep(0.5 if budget - handed < 200 else 0)
+            used_tokens += answer.body.count(b"data:") * EVENT_TOKENS
+            # Unused tokens of a turn are released within a second.
+            await asyncio.sleep(0.5 if budget - used_tokens < 200 else 0)
         self.assertEqual(answer.status, 402)
-        self.assertLessEqual(handed, budget)
-        self.assertGreater(handed, budget - 100 - 3 * EVENT_TOKENS)
-        ran = len(target.exchanges)
+        self.assertLessEqual(used_tokens, budget)
+        self.assertGreater(used_tokens, budget - 100 - 3 * EVENT_TOKENS)
+        request_count = len(target.exchanges)
         answer = await self.turn(daemons[0], b"x", budget=budget, path="/free/a")
         self.assertEqual(answer.status, 402)
-        self.assertEqual(len(target.exchanges), ran)
+        self.assertEqual(len(target.exchanges), request_count)
 
     async def test_failure_of_the_target(self) -> None:
-        """Pass on a target's failure as it is."""
+        """Forward a failure of the target unchanged."""
 
         async def fail(exchange: TargetExchange) -> None:
             headers = (("X-Attempt-Id", attempt_of(exchange)),)
@@ -346,18 +338,17 @@
         answer = await self.turn(daemon, b"one")
         self.assertEqual((answer.status, answer.body), (500, b"sorry"))
 
-    async def test_store_turns_one_daemon_away(self) -> None:
-        """Refuse a kept turn at once while nothing can be written.
+    async def test_store_rejects_one_daemon(self) -> None:
+        """Refuse retained turns while the store rejects this daemon.
 
-        The store turns this daemon away. A turn that runs now could not be
-        committed, and its caller would wait for an end that can't come.
+        Such a turn could not be committed, and its answer would never end.
         """
         target = await self.add_target("i-1", ENGINES, stream_answer)
         daemon = await self.add_daemon("a")
         self.clients["a"].faults.down = True
         self.assertNotEqual((await self.turn(daemon, b"first")).status, 200)
-        ran = len(target.exchanges)
+        request_count = len(target.exchanges)
         answer = await self.turn(daemon, b"second")
         self.assertEqual(answer.status, 503)
         self.assertIn("retry-after", answer.headers)
-        self.assertEqual(len(target.exchanges), ran)
+        self.assertEqual(len(target.exchanges), request_count)
--- a/sequoiaarch/tests/platform/foreign_tests.py
+++ b/sequoiaarch/tests/platform/external_records_tests.py
@@ -1,4 +1,4 @@
-"""Test entries of the store that come from another writer."""
+"""Test store records that other processes wrote."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from .deployment import TOOLS, DeploymentTestCase, registration, tool_answer
 
 PARTITION = Partition(topic="keyed.servers", number=0)
-GOOD = registration("engines", "10.1.2.3:8080")
-BAD: dict[str, Any] = {
+VALID = registration("engines", "10.1.2.3:8080")
+INVALID: dict[str, Any] = {
     "state": ["on fire", "", None, 1],
     "address": ["10.1.2.3:99999", "10.1.2.3:0", "10.1.2.3:-5", "host:80", "x", 7],
     "slots": [0, -1, "8", None, 1.5],
@@ -40,21 +40,21 @@
 
 def encode(**changes: Any) -> bytes:
     """Return a registration with fields changed."""
-    return json.dumps({**GOOD, **changes}).encode()
+    return json.dumps({**VALID, **changes}).encode()
 
 
 class RegistrationTests(unittest.TestCase):
-    """Decode registrations one by one."""
+    """Decode registrations."""
 
-    def test_good_entry(self) -> None:
-        """Take an entry as documented, with and without the time of its start."""
+    def test_valid_registration(self) -> None:
+        """Decode a registration with and without its start time."""
         self.assertEqual(decode_target("i-1", encode()).born, 0)
         entry = decode_target("i-1", encode(born=1_700_000_000_000, more="unknown"))
         self.assertEqual(entry.born, 1_700_000_000_000)
 
-    def test_bad_fields(self) -> None:
-        """Refuse each field that is of another type or out of range."""
-        for name, values in BAD.items():
+    def test_invalid_fields(self) -> None:
+        """Reject a field that has another type or is out of range."""
+        for name, values in INVALID.items():
             for value in values:
                 with (
                     self.subTest(name=name, value=value),
@@ -63,14 +63,14 @@
                     decode_target("i-1", encode(**{name: value}))
 
     def test_missing_fields(self) -> None:
-        """Refuse an entry that lacks a documented field."""
-        for name in GOOD:
-            left = {key: value for key, value in GOOD.items() if key != name}
+        """Reject a registration without one of the required fields."""
+        for name in VALID:
+            rest = {key: value for key, value in VALID.items() if key != name}
             with self.subTest(name=name), self.assertRaises(ValueError):
-                decode_target("i-1", json.dumps(left).encode())
+                decode_target("i-1", json.dumps(rest).encode())
 
-    def test_bad_key_is_reported_once(self) -> None:
-        """Bound the lines and the memory that bad entries cost."""
+    def test_invalid_registration_is_logged_once(self) -> None:
+        """Log each invalid registration once, and remember a bounded number."""
         with (
             mock.patch.object(registrations_module, "MAX_REPORTED_KEYS", 3),
             mock.patch.object(registrations_module, "log") as log,
@@ -85,8 +85,8 @@
 
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(st.binary(max_size=200))
-    def test_any_bytes(self, data: bytes) -> None:
-        """Raise nothing but ValueError, whatever the bytes are."""
+    def test_random_bytes(self, data: bytes) -> None:
+        """Raise only ValueError on random bytes."""
         for decode in (lambda: decode_target("k", data), lambda: decode_routes(data)):
             with self.assertRaises(ValueError):
                 decode()
@@ -94,7 +94,7 @@
     @settings(max_examples=300, derandomize=True, deadline=None)
     @given(
         st.dictionaries(
-            st.sampled_from([*GOOD, "born"]),
+            st.sampled_from([*VALID, "born"]),
             st.one_of(
                 st.none(),
                 st.booleans(),
@@ -105,8 +105,8 @@
             ),
         )
     )
-    def test_any_fields(self, changes: dict[str, Any]) -> None:
-        """Return a target that can be used, or raise ValueError."""
+    def test_random_fields(self, changes: dict[str, Any]) -> None:
+        """Return a usable target or raise ValueError."""
         try:
             entry = decode_target("k", encode(**changes))
         except ValueError:
@@ -115,23 +115,23 @@
 
 
 class _Replies:
-    """Answer store calls with given bytes."""
+    """Store client that answers every call with the same bytes."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
-        """Return the bytes as a good answer."""
+        """Return the bytes with status 200."""
         return StoreReply(status=200, body=self._body)
 
 
-def read(body: bytes) -> PlatformLog:
-    """Return a log whose store answers with the bytes."""
+def log_of(body: bytes) -> PlatformLog:
+    """Return a log whose store answers every call with the bytes."""
     return PlatformLog(caller=_Replies(body))
 
 
 def run(answer: Awaitable[Any]) -> Any:
-    """Return what a call returns."""
+    """Run a call to its end and return its result."""
 
     async def call() -> Any:
         return await answer
@@ -140,98 +140,94 @@
 
 
 def frame(content: bytes) -> bytes:
-    """Return a record as it stands in a page."""
+    """Return a record with its length, as in a page of the store."""
     return len(content).to_bytes(4, "big") + content
 
 
-class PageTests(unittest.TestCase):
-    """Decode the store's answers."""
+class LogAnswerTests(unittest.TestCase):
+    """Decode answers of the store."""
 
-    def test_record_with_unreadable_key_keeps_its_place(self) -> None:
-        """Pass over a record whose key is no text, and keep all others."""
+    def test_unreadable_key_keeps_offsets(self) -> None:
+        """Skip the content of a record with an undecodable key, but not its offset."""
         body = (3).to_bytes(8, "big") + bytes(8)
         body += frame(b"\x01aone") + frame(b"\x02\xff\xfex") + frame(b"\x01btwo")
-        page = run(read(body).read(PARTITION, 0, wait=0))  # type: ignore[arg-type]
+        page = run(log_of(body).read(PARTITION, 0, wait=0))  # type: ignore[arg-type]
         self.assertEqual([one.key for one in page.records], ["a", "", "b"])
         self.assertEqual(page.next, 3)
 
     def test_listed_value_that_is_not_base64(self) -> None:
-        """Pass over one listed record and keep the others."""
+        """Skip a listed record whose value isn't base64."""
         items = [
             {"key": "a", "value": "b25l", "offset": 1},
             {"key": "b", "value": "!", "offset": 2},
         ]
         body = json.dumps({"items": items, "endOffset": 3}).encode()
-        newest = run(read(body).newest(PARTITION))
+        newest = run(log_of(body).newest(PARTITION))
         self.assertEqual([one.key for one in newest.records], ["a"])
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.binary(max_size=80))
-    def test_any_answer(self, body: bytes) -> None:
-        """Return a failure or records, and raise nothing."""
-        page = run(read(body).read(PARTITION, 0, wait=0))  # type: ignore[arg-type]
+    def test_random_answer(self, body: bytes) -> None:
+        """Return records or a failure on random bytes, without an exception."""
+        page = run(log_of(body).read(PARTITION, 0, wait=0))  # type: ignore[arg-type]
         self.assertIsInstance(page, Failure | msgspec.Struct)
-        self.assertIsInstance(run(read(body).newest(PARTITION)), Failure)
+        self.assertIsInstance(run(log_of(body).newest(PARTITION)), Failure)
 
-    def test_object_without_a_list(self) -> None:
-        """Take no other object for an empty list, or "no such turn" is untrue."""
+    def test_missing_list(self) -> None:
+        """Fail on an answer without the list instead of reporting no records."""
         for body in (b'{"":true}', b"{}", b'{"items":[]}', b'{"endOffset":3}'):
             with self.subTest(body=body):
-                self.assertIsInstance(run(read(body).newest(PARTITION)), Failure)
+                self.assertIsInstance(run(log_of(body).newest(PARTITION)), Failure)
 
     def test_empty_record(self) -> None:
-        """Pass over a record of no bytes at all."""
+        """Skip a record without content."""
         body = (1).to_bytes(8, "big") + bytes(8) + frame(b"")
-        page = run(read(body).read(PARTITION, 0, wait=0))  # type: ignore[arg-type]
+        page = run(log_of(body).read(PARTITION, 0, wait=0))  # type: ignore[arg-type]
         self.assertEqual(page.next, 1)
 
 
-class ForeignEntryTests(DeploymentTestCase):
-    """Serve beside entries of another writer, as a change and in a list."""
+class ExternalRecordTests(DeploymentTestCase):
+    """Serve requests beside invalid registrations, new ones and listed ones."""
 
-    async def foreign(self, key: str, value: bytes) -> None:
-        """Write an entry as another writer would."""
+    async def write_registration(self, key: str, value: bytes) -> None:
+        """Write a registration as another process does."""
         await self.store.put("keyed.servers", key, value)
 
-    async def served(self, name: str) -> None:
-        """Check that callers are served, and by a gateway that starts now too."""
+    async def check_served(self, name: str) -> None:
+        """Check that a running and a new gateway serve requests."""
         for daemon in (self.daemons["one"], await self.add_daemon(name)):
             for _ in range(4):
                 answer = await self.call(daemon, "/safe/a", method="GET")
                 self.assertEqual(answer.status, 200)
 
-    async def test_entries_of_another_writer_lead_nowhere(self) -> None:
-        """Answer every request although bad entries stand beside the good one.
-
-        Entries with an unknown state, an impossible port, no zone, or bytes
-        that are no JSON arrive under ids of their own. A request that went to
-        one of them would wait, or be refused, for nothing.
-        """
+    async def test_invalid_registrations_get_no_requests(self) -> None:
+        """Send every request to the valid target beside invalid registrations."""
         await self.add_target("i-good", TOOLS, tool_answer)
         await self.add_daemon("one")
-        bad = {**GOOD, "service": TOOLS, "address": "127.0.0.1:1"}
-        await self.foreign("i-a", json.dumps({**bad, "state": "on fire"}).encode())
-        await self.foreign("i-b", json.dumps({**bad, "slots": "8"}).encode())
-        await self.foreign("i-c", b"\xff\xfe{")
-        await self.foreign(
+        bad = {**VALID, "service": TOOLS, "address": "127.0.0.1:1"}
+        await self.write_registration(
+            "i-a", json.dumps({**bad, "state": "on fire"}).encode()
+        )
+        await self.write_registration("i-b", json.dumps({**bad, "slots": "8"}).encode())
+        await self.write_registration("i-c", b"\xff\xfe{")
+        await self.write_registration(
             "i-d", json.dumps({**bad, "address": "127.0.0.1:0"}).encode()
         )
         await asyncio.sleep(0.4)
-        await self.served("two")
+        await self.check_served("two")
 
-    async def test_bad_entry_replaces_an_older_good_one(self) -> None:
-        """Send nothing where the newest entry names no target.
+    async def test_invalid_registration_replaces_valid_one(self) -> None:
+        """Remove a target when its newest registration is invalid.
 
-        Whether the entry arrives as a change or in the list of a process that
-        starts, what was registered before under its id no longer counts; the
-        target itself writes again within a heartbeat.
+        This holds for a running gateway and for one that starts afterwards. The target
+        returns with its next heartbeat.
         """
         await self.add_target("i-good", TOOLS, tool_answer)
         await self.add_target("i-other", TOOLS, tool_answer)
         await self.add_daemon("one")
-        await self.foreign("i-good", b"{}")
+        await self.write_registration("i-good", b"{}")
         await asyncio.sleep(0.4)
-        await self.served("two")
+        await self.check_served("two")
         for daemon in self.daemons.values():
             self.assertIsNone(daemon.targets.find(InstanceId("i-good")))
         await self.register("i-good", TOOLS)
@@ -241,45 +237,45 @@
 
 
 class RestartTests(unittest.TestCase):
-    """Register targets that start again under their id."""
+    """Register targets that restart under the same id."""
 
     def setUp(self) -> None:
-        """Hold the names of what is forgotten."""
+        """Collect the targets whose state is dropped."""
         self.dropped: list[InstanceId] = []
         self.targets = Targets(clock=lambda: 0.0, dropped=self.dropped.append)
 
-    def put(self, born: int) -> None:
-        """Register the target with a time of its start."""
-        self.targets.put(decode_target("i-1", encode(born=born)))
+    def put(self, start_time: int) -> None:
+        """Register the target with a start time."""
+        self.targets.put(decode_target("i-1", encode(born=start_time)))
 
-    def born(self) -> int:
-        """Return the start that is known."""
+    def start_time(self) -> int:
+        """Return the start time in the current registration."""
         entry = self.targets.find(InstanceId("i-1"))
         assert entry is not None
         return entry.born
 
-    def test_start_again_forgets_what_was_learned(self) -> None:
-        """Forget the cache, waits, failures and connections of the start before."""
+    def test_restart_drops_target_state(self) -> None:
+        """Drop what was learned about the target before its restart."""
         self.put(10)
         self.put(20)
         self.assertEqual(self.dropped, ["i-1@10"])
-        self.assertEqual(self.born(), 20)
+        self.assertEqual(self.start_time(), 20)
 
-    def test_entries_out_of_order(self) -> None:
-        """Keep the newer start when a page that was read late shows the older."""
+    def test_older_registration_is_ignored(self) -> None:
+        """Keep the registration with the newer start time."""
         self.put(20)
         self.put(10)
-        self.assertEqual(self.born(), 20)
+        self.assertEqual(self.start_time(), 20)
         self.assertEqual(self.dropped, [])
 
-    def test_heartbeat_of_the_same_start(self) -> None:
-        """Forget nothing on a heartbeat."""
+    def test_heartbeat_keeps_target_state(self) -> None:
+        """Keep what was learned about the target on a heartbeat."""
         self.put(10)
         self.put(10)
         self.assertEqual(self.dropped, [])
 
-    def test_entry_without_the_time_of_its_start(self) -> None:
-        """Take out a target whose newest entry lacks what its own always has."""
+    def test_registration_without_start_time(self) -> None:
+        """Remove a target whose newest registration lacks the start time."""
         self.put(10)
         self.targets.put(decode_target("i-1", encode()))
         self.assertIsNone(self.targets.find(InstanceId("i-1")))
--- a/sequoiaarch/tests/platform/http_store.py
+++ b/sequoiaarch/tests/platform/http_store.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store, over its own protocol."""
+"""Serve an in-memory store over the protocol of the platform's store."""
 
 from __future__ import annotations
 
@@ -16,38 +16,44 @@
 from ...standins.keyed_store import KeyedStore
 from ...storage.keyed import KeyedRecord, LogGap, Partition, Writer
 
-PAGE = 50
+PAGE_SIZE = 50
 
 
 class HttpStore:
-    """Speak the store's protocol before a store in memory."""
+    """HTTP server for one client of a store in memory, with faults."""
 
-    def __init__(self, *, store: KeyedStore | None = None, page: int = PAGE) -> None:
+    def __init__(
+        self, *, store: KeyedStore | None = None, page_size: int = PAGE_SIZE
+    ) -> None:
         self.store = store or KeyedStore()
-        self._page = page
+        self._page_size = page_size
         self.server = Server(handle=self._handle, limits=ServerLimits())
-        # What one client of the store meets: a status other than 200, answers
-        # that come so many seconds late, and a share that is lost.
+        # Faults: a status other than 200, a delay of each call in seconds, and
+        # appends that are carried out but not answered.
         self.status = 200
         self.delay = 0.0
-        self.loses: Callable[[], bool] = lambda: False
+        self.drops_answer: Callable[[], bool] = lambda: False
 
     async def _handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
         url = urlsplit(message.target.decode())
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
-        part = Partition(topic=query["topic"], number=int(query["part"]))
+        partition = Partition(topic=query["topic"], number=int(query["part"]))
         await asyncio.sleep(self.delay)
         if self.status != 200:
             await reply.send_response(self.status, [], b"")
         elif url.path == "/-/log-append":
-            await self._append(part, query, message.body, reply)
+            await self._append(partition, query, message.body, reply)
         elif url.path == "/-/log-read":
-            await self._read(part, query, reply)
+            await self._read(partition, query, reply)
         else:
-            await self._newest(part, query, reply)
+            await self._newest(partition, query, reply)
 
     async def _append(
-        self, part: Partition, query: dict[str, str], body: bytes, reply: ResponseWriter
+        self,
+        partition: Partition,
+        query: dict[str, str],
+        body: bytes,
+        reply: ResponseWriter,
     ) -> None:
         records = []
         while body:
@@ -58,29 +64,29 @@
             records.append(KeyedRecord(key=key, value=content[1 + key_length :]))
         if "asOf" in query:
             end = Offset(int(query["asOf"]))
-            done_at = await self.store.append_at(part, records, end)
-            await reply.send_response(200 if done_at else 412, [], b"{}")
+            accepted = await self.store.append_at(partition, records, end)
+            await reply.send_response(200 if accepted else 412, [], b"{}")
             return
         writer = Writer(
             name=query["producer"],
             epoch=int(query["epoch"]),
             sequence=int(query["sequence"]),
         )
-        done = await self.store.append(part, records, writer)
+        done = await self.store.append(partition, records, writer)
         if isinstance(done, Failure):
             await reply.send_response(409, [], json.dumps({"why": "seq"}).encode())
             return
-        if self.loses():
+        if self.drops_answer():
             await asyncio.Event().wait()
         answer = {"offset": done, "endOffset": done + len(records)}
         await reply.send_response(200, [], json.dumps(answer).encode())
 
     async def _read(
-        self, part: Partition, query: dict[str, str], reply: ResponseWriter
+        self, partition: Partition, query: dict[str, str], reply: ResponseWriter
     ) -> None:
         start = Offset(int(query["from"]))
         wait = int(query.get("waitMs", "0")) / 1000
-        page = await self.store.read(part, start, wait)
+        page = await self.store.read(partition, start, wait)
         if isinstance(page, LogGap):
             await reply.send_response(410, [], json.dumps({"firstOffset": 9}).encode())
             return
@@ -92,11 +98,11 @@
         await reply.send_response(200, [], body)
 
     async def _newest(
-        self, part: Partition, query: dict[str, str], reply: ResponseWriter
+        self, partition: Partition, query: dict[str, str], reply: ResponseWriter
     ) -> None:
-        newest = self.store.newest(part)
+        newest = self.store.newest(partition)
         after = query.get("after", "")
-        left = sorted(
+        remaining = sorted(
             (one for one in newest.records if one.key > after),
             key=lambda one: one.key,
         )
@@ -106,11 +112,11 @@
                 "value": base64.b64encode(one.value).decode(),
                 "offset": one.offset,
             }
-            for one in left[: self._page]
+            for one in remaining[: self._page_size]
         ]
         answer = {
             "items": items,
-            "hasMore": len(left) > self._page,
+            "hasMore": len(remaining) > self._page_size,
             "endOffset": newest.resume,
         }
         await reply.send_response(200, [], json.dumps(answer).encode())
--- a/sequoiaarch/tests/platform/names_tests.py
+++ b/sequoiaarch/tests/platform/names_tests.py
@@ -1,4 +1,4 @@
-"""Test that only the adapter knows the platform's names."""
+"""Test that only the adapter uses names of the platform's protocol."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 PACKAGE = Path(__file__).parents[2]
 ADAPTER = PACKAGE / "platform"
 ADAPTER_TESTS = PACKAGE / "tests" / "platform"
-# The folder translates and no more: a larger share means that decisions or
-# state have moved into it.
-MOST_SHARE = 0.06
+# The adapter only translates; a larger share indicates that it contains logic or state
+# that belongs elsewhere.
+MAX_SHARE = 0.06
 
 NAMES = (
     "x-attempt-id|x-deadline-ms|x-prompt-prefix|x-server-stamp|x-expect-instance"
@@ -29,16 +29,16 @@
 
 
 def sources() -> list[Path]:
-    """Return all modules of the product, tests aside."""
+    """Return all modules of the product without its tests."""
     tests = PACKAGE / "tests"
     return [one for one in PACKAGE.rglob("*.py") if tests not in one.parents]
 
 
 class NamesTests(unittest.TestCase):
-    """Read the sources."""
+    """Check the sources."""
 
     def test_names_stay_in_the_adapter(self) -> None:
-        """Find no name of the platform's protocol outside the adapter."""
+        """Use names of the platform's protocol only in the adapter and its tests."""
         pattern = re.compile(NAMES, re.IGNORECASE)
         tests = [
             one
@@ -55,9 +55,9 @@
         self.assertEqual(found, [])
 
     def test_adapter_stays_small(self) -> None:
-        """Hold the adapter to its share of the code, and print it."""
+        """Limit the adapter's share of the code, and print it."""
         lines = {path: len(path.read_text().splitlines()) for path in sources()}
         own = sum(count for path, count in lines.items() if ADAPTER in path.parents)
         share = own / sum(lines.values())
         print(f"sequoiaarch/platform: {own} lines, {share:.1%} of the code")
-        self.assertLess(share, MOST_SHARE)
+        self.assertLess(share, MAX_SHARE)
--- a/sequoiaarch/tests/platform/settings_tests.py
+++ b/sequoiaarch/tests/platform/settings_tests.py
@@ -1,4 +1,4 @@
-"""Test the platform's settings file, and signals that concern it."""
+"""Test the platform's settings file, and signals to the process."""
 
 from __future__ import annotations
 
@@ -38,17 +38,17 @@
 
 
 class SettingsTests(unittest.TestCase):
-    """Read files."""
+    """Read settings files."""
 
     def read(self, text: str) -> IngressOptions:
-        """Return the options in a file with a text."""
+        """Return the options that are read from a file with the text."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "node.toml"
             path.write_text(text)
             return read_settings(path)
 
     def test_known_fields(self) -> None:
-        """Take what is needed and pass over what is not known."""
+        """Read known fields and ignore unknown ones."""
         options = self.read(SETTINGS.format(control=CONTROL))
         self.assertEqual(options.front, ("127.0.0.1", 8149))
         self.assertEqual(options.inner, "127.0.0.1:8144")
@@ -56,20 +56,19 @@
         self.assertEqual(options.memory_bytes, 170 * 2**20)
 
     def test_no_control_address(self) -> None:
-        """Use the first inner port where no address is given."""
+        """Use the first internal port if no control address is set."""
         options = self.read(SETTINGS.format(control=""))
         self.assertEqual(options.inner, "127.0.0.1:7000")
 
     def test_bad_file(self) -> None:
-        """Say that a file can't be used."""
+        """Raise ValueError for an invalid file."""
         for text in ("not = [toml", "nodeName = 3"):
             with self.assertRaises(ValueError):
                 self.read(text)
 
 
-# Sends the signal when the first large part of the program is imported, and runs
-# the program then, without settings.
-HANG_UP_DURING_START = """
+# Runs the program and sends it SIGHUP while it is still importing its modules.
+SIGHUP_DURING_START = """
 import os, runpy, signal, sys
 
 class HangUp:
@@ -87,51 +86,44 @@
 class StartTests(unittest.TestCase):
     """Start the program as a process."""
 
-    def test_hang_up_while_starting(self) -> None:
-        """Go on where the settings change while the process is being started.
+    def test_sighup_during_start(self) -> None:
+        """Survive SIGHUP during the import of the program.
 
-        The platform sends SIGHUP while the interpreter still imports the
-        program. By default the signal ends the process, so that the gateway is
-        missing until somebody starts it again. Here it lives on and says that
-        it was given no settings.
+        The exit status shows that the process reached the missing settings file.
         """
-        command = [sys.executable, "-c", HANG_UP_DURING_START]
+        command = [sys.executable, "-c", SIGHUP_DURING_START]
         environment = {**os.environ, "SEQUOIAARCH_SETTINGS": "/nowhere"}
-        done = subprocess.run(
+        process = subprocess.run(
             command, env=environment, capture_output=True, check=False
         )
-        self.assertEqual(done.returncode, EXIT_INVALID, done.stderr)
+        self.assertEqual(process.returncode, EXIT_INVALID, process.stderr)
 
 
 class SignalTests(DeploymentTestCase):
     """Send signals to a running daemon."""
 
-    async def test_reload(self) -> None:
-        """Go on after the signal that says that the settings have changed.
-
-        Without a handler the process ends, and with it every open request;
-        it came back with an old configuration.
-        """
+    async def test_sighup_while_serving(self) -> None:
+        """Keep running after SIGHUP, which ends a process without a handler."""
         await self.add_target("i-1", TOOLS, tool_answer)
         daemon = await self.add_daemon("a")
-        running = asyncio.create_task(daemon.run_until_stopped())
+        serving = asyncio.create_task(daemon.run_until_stopped())
         await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGHUP)
         answer = await self.call(daemon, "/safe/x")
         self.assertEqual(answer.status, 200)
-        self.assertFalse(running.done())
-        running.cancel()
-        await asyncio.wait([running])
+        self.assertFalse(serving.done())
+        serving.cancel()
+        await asyncio.wait([serving])
 
-    async def test_stop(self) -> None:
-        """Answer what is open at a stop, take more for a while, then end.
+    async def test_sigterm(self) -> None:
+        """Answer requests for a while after SIGTERM, then end.
 
-        The balancer sends new connections until it has noticed. Every one of
-        them is answered, and told to close.
+        Load balancers send new connections until they notice that the daemon is not
+        ready. Each is answered and closed.
         """
         await self.add_target("i-1", ENGINES, stream_answer)
         daemon = await self.add_daemon("a")
-        running = asyncio.create_task(daemon.run_until_stopped())
+        serving = asyncio.create_task(daemon.run_until_stopped())
         await asyncio.sleep(0)
         os.kill(os.getpid(), signal.SIGTERM)
         await asyncio.sleep(0.2)
@@ -140,4 +132,4 @@
         self.assertEqual(answer.status, 200)
         self.assertEqual(answer.headers.get("connection"), "close")
         async with asyncio.timeout(15):
-            await running
+            await serving
--- a/sequoiaarch/tests/platform/soak/faults.py
+++ b/sequoiaarch/tests/platform/soak/faults.py
@@ -178,10 +178,12 @@
     async def _store_loses_answers(self) -> None:
         self._begin_store_fault()
         for gateway in self._gateways:
-            gateway.store_server.loses = lambda: self._rng.random() < LOST_ANSWER_SHARE
+            gateway.store_server.drops_answer = lambda: (
+                self._rng.random() < LOST_ANSWER_SHARE
+            )
         await asyncio.sleep(self._rng.uniform(*LONG_DURATION))
         for gateway in self._gateways:
-            gateway.store_server.loses = lambda: False
+            gateway.store_server.drops_answer = lambda: False
         self._end_store_fault()
 
     async def _store_forgets(self) -> None:
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -1,4 +1,4 @@
-"""Test the translation of the store's protocol against a stand-in over HTTP."""
+"""Test the client of the platform's store against an HTTP stand-in."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 )
 from .http_store import HttpStore
 
-PART = Partition(topic="keyed.test", number=3)
+PARTITION = Partition(topic="keyed.test", number=3)
 
 
 class StoreTests(unittest.IsolatedAsyncioTestCase):
-    """Run the adapter's log on the stand-in."""
+    """Call the stand-in through the adapter's log."""
 
     async def asyncSetUp(self) -> None:
         """Start the stand-in."""
-        self.http = HttpStore(page=2)
+        self.http = HttpStore(page_size=2)
         await self.http.server.start("127.0.0.1", 0)
         address = ("127.0.0.1", self.http.server.port)
         self.log = PlatformLog(caller=DirectClient(address=address))
@@ -38,69 +38,73 @@
         self.http.server.abort()
 
     async def append(self, sequence: int, *records: KeyedRecord) -> Offset | Failure:
-        """Append records under a sequence."""
+        """Append records with a sequence number."""
         writer = Writer(name="w", epoch=1, sequence=sequence)
-        return await self.log.append(PART, list(records), writer=writer)
+        return await self.log.append(PARTITION, list(records), writer=writer)
 
     async def test_append_and_read(self) -> None:
-        """Read what was appended, byte for byte."""
+        """Read records exactly as they were appended."""
         records = [
             KeyedRecord(key="k1", value=b"\x00\x01\xff"),
             KeyedRecord(key="k2", value=b"x" * 5000),
         ]
         self.assertEqual(await self.append(0, *records), 0)
-        page = await self.log.read(PART, Offset(0), wait=0)
+        page = await self.log.read(PARTITION, Offset(0), wait=0)
         assert isinstance(page, KeyedPage)
         self.assertEqual(page.records, records)
         self.assertEqual((page.next, page.end), (2, 2))
 
-    async def test_repeat(self) -> None:
-        """Get the first answer for a repeated append."""
+    async def test_repeated_append(self) -> None:
+        """Get the same offset for a repeated append."""
         record = KeyedRecord(key="k", value=b"v")
         first = await self.append(0, record)
         self.assertEqual(await self.append(0, record), first)
-        self.assertEqual(len(self.http.store.newest(PART).records), 1)
+        self.assertEqual(len(self.http.store.newest(PARTITION).records), 1)
 
     async def test_out_of_sequence(self) -> None:
-        """Fail where the store refuses the sequence."""
+        """Fail if the store rejects the sequence number."""
         record = KeyedRecord(key="k", value=b"v")
         self.assertIsInstance(await self.append(5, record), int)
         self.assertIsInstance(await self.append(9, record), Failure)
 
-    async def test_append_at_the_end(self) -> None:
-        """Append under a condition only while nothing was written since."""
+    async def test_conditional_append(self) -> None:
+        """Append only if nothing was written after the given end."""
         record = KeyedRecord(key="k", value=b"v")
-        self.assertIs(await self.log.append_at(PART, [record], end=Offset(0)), True)
-        self.assertIs(await self.log.append_at(PART, [record], end=Offset(0)), False)
+        self.assertIs(
+            await self.log.append_at(PARTITION, [record], end=Offset(0)), True
+        )
+        self.assertIs(
+            await self.log.append_at(PARTITION, [record], end=Offset(0)), False
+        )
         self.http.status = 503
-        refused = await self.log.append_at(PART, [record], end=Offset(1))
+        refused = await self.log.append_at(PARTITION, [record], end=Offset(1))
         self.assertIsInstance(refused, Failure)
 
-    async def test_newest_in_pages(self) -> None:
+    async def test_newest_over_several_pages(self) -> None:
         """Read the newest records over several pages."""
         records = [KeyedRecord(key=f"k{one}", value=b"v") for one in range(5)]
         await self.append(0, *records)
-        newest = await self.log.newest(PART)
+        newest = await self.log.newest(PARTITION)
         assert isinstance(newest, NewestRecords)
         listed = [
-            ListedRecord(key=one.key, value=one.value, offset=Offset(place))
-            for place, one in enumerate(records)
+            ListedRecord(key=one.key, value=one.value, offset=Offset(offset))
+            for offset, one in enumerate(records)
         ]
         self.assertEqual(newest.records, listed)
         self.assertEqual(newest.resume, 5)
 
-    async def test_history_dropped(self) -> None:
-        """Tell records that are gone from a failure."""
+    async def test_trimmed_records(self) -> None:
+        """Report trimmed records as a gap, not as a failure."""
         await self.append(0, KeyedRecord(key="k", value=b"v"))
         self.http.store.forget_history()
-        page = await self.log.read(PART, Offset(0), wait=0)
+        page = await self.log.read(PARTITION, Offset(0), wait=0)
         self.assertIs(page, LogGap.TRIMMED)
 
-    async def test_busy(self) -> None:
-        """Fail each call while the store refuses it."""
+    async def test_rejected_calls(self) -> None:
+        """Fail each call that the store answers with 503."""
         self.http.status = 503
         record = KeyedRecord(key="k", value=b"v")
         self.assertIsInstance(await self.append(0, record), Failure)
-        self.assertIsInstance(await self.log.newest(PART), Failure)
-        read = await self.log.read(PART, Offset(0), wait=0)
+        self.assertIsInstance(await self.log.newest(PARTITION), Failure)
+        read = await self.log.read(PARTITION, Offset(0), wait=0)
         self.assertIsInstance(read, Failure)
