--- a/sequoiaarch/tests/platform/soak/property_checker.py
+++ b/sequoiaarch/tests/platform/soak/property_checker.py
@@ -134,4 +134,4 @@
             if run.workspace == workspace
         )
         ends = (bisect_left(times, begin + seconds) for begin in times)
-        return max((end - rank for rank, end in enumerate(ends)), default=0)
+        return max((end - index for index, end in enumerate(ends)), default=0)
