--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -33,7 +33,7 @@
 from ..routing.routes import ClientLimits, RouteTable
 from ..routing.targets import Targets
 from ..storage.keyed import KeyedLog
-from ..storage.relayed import StoreAccess
+from ..storage.relayed import StorePath
 from ..wire.links import Send
 from ..wire.messages import Reply as PeerReply, Request
 from ..workspaces.access import Access
@@ -84,7 +84,7 @@
         reload: Callable[[], IngressOptions] | None = None,
         events: EventLog | None = None,
         metrics: RequestMetrics | None = None,
-        store_way: Callable[[], StoreAccess] = lambda: StoreAccess.DIRECT,
+        store_path: Callable[[], StorePath] = lambda: StorePath.DIRECT,
     ) -> None:
         self._reload = reload
         self._options = options
@@ -122,7 +122,7 @@
             rng=rng,
         )
         self._metrics = metrics or RequestMetrics()
-        self.dispatcher.store_way = store_way
+        self.dispatcher.store_path = store_path
         access.reached = self.dispatcher.store_reachable
         bounds = options.quota or QuotaBounds()
         quotas: Quotas = local_quotas(limits=access.limit_of, bounds=bounds)
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -19,7 +19,7 @@
 from ..policies.urgency import DeadlineUrgency, ProgramProgress, Urgency
 from ..routing.routes import Route, RouteTable
 from ..routing.targets import TargetEntry, Targets
-from ..storage.relayed import StoreAccess
+from ..storage.relayed import StorePath
 from ..workspaces.access import Access
 from .calls import CallCodec, RequestInfo
 from .load import LoadTracker
@@ -49,7 +49,7 @@
         self.retries: RetryPolicy = RetryBudget()
         self.routes: RouteTable | None = None
         self.targets_read_at: Callable[[], float] = lambda: 0.0
-        self.store_way: Callable[[], StoreAccess] = lambda: StoreAccess.DIRECT
+        self.store_path: Callable[[], StorePath] = lambda: StorePath.DIRECT
         self._data_centre = data_centre
         self._targets = targets
         self._engine_placement = engine_placement
@@ -121,7 +121,7 @@
 
     def store_reachable(self) -> bool:
         """Return whether the store is reachable, directly or through a peer."""
-        return self.store_way() is not StoreAccess.NONE
+        return self.store_path() is not StorePath.NONE
 
     def targets_age(self) -> float:
         """Return the age of the target list, in seconds."""
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -167,7 +167,7 @@
             config=request.routes.version if request.routes else None,
             config_age=round(self._dispatcher.access.age(), 3),
             targets_age=round(self._dispatcher.targets_age(), 3),
-            store=self._dispatcher.store_way().value,
+            store=self._dispatcher.store_path().value,
             status=reply.status,
             outcome=request.outcome,
             reason=request.reason,
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -16,7 +16,7 @@
 from ..observe.events import EventLog, events_written_to
 from ..storage.direct import DirectClient
 from ..storage.hedged import HedgedClient
-from ..storage.relayed import RelayedClient, StoreAccess
+from ..storage.relayed import RelayedClient, StorePath
 from .documents import (
     CONFIG_KEY,
     CONFIG_TOPIC,
@@ -58,7 +58,7 @@
         context=context,
         address=options.inner,
         caller=direct,
-        reaches_store=lambda: caller.access is StoreAccess.DIRECT,
+        reaches_store=lambda: caller.path is StorePath.DIRECT,
     )
     daemon = IngressDaemon(
         options=options,
@@ -68,7 +68,7 @@
         peers=peers,
         reload=lambda: read_settings(path),
         events=events,
-        store_way=lambda: caller.access,
+        store_path=lambda: caller.path,
     )
     server.fallback = daemon.answer_peer
     server_task = asyncio.create_task(server.run())
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -28,7 +28,7 @@
 UNAVAILABLE_AFTER = 0.8
 
 
-class StoreAccess(Enum):
+class StorePath(Enum):
     """How calls reach the store at present."""
 
     DIRECT = "directly"
@@ -54,29 +54,29 @@
         self._direct = direct
         self._relay = relay
         self._relay_delay = relay_delay
-        self._access = StoreAccess.DIRECT
+        self._path = StorePath.DIRECT
         self._next_probe = 0.0
         self._last_direct_success = float("-inf")
         self._probe: asyncio.Task[StoreReply | Failure] | None = None
 
     @property
-    def access(self) -> StoreAccess:
+    def path(self) -> StorePath:
         """Return how calls reach the store at present."""
-        return self._access
+        return self._path
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Make a call directly or through a peer, whichever works at present."""
-        if self._access is StoreAccess.NONE and not self._probe_due(
+        if self._path is StorePath.NONE and not self._probe_due(
             UNAVAILABLE_PROBE_INTERVAL
         ):
             return unavailable(call, "the store is unavailable")
-        if self._access is StoreAccess.RELAYED:
+        if self._path is StorePath.RELAYED:
             if not call.waits and self._probe_due(DIRECT_PROBE_INTERVAL):
                 self._probe = asyncio.create_task(self._try_direct(call))
             reply = await self._relay(call)
             # A direct call may have succeeded meanwhile; only a failure matters.
-            if not _succeeded(reply) and self._access is StoreAccess.RELAYED:
-                self._set_access(StoreAccess.NONE, _reason(reply))
+            if not _succeeded(reply) and self._path is StorePath.RELAYED:
+                self._set_path(StorePath.NONE, _reason(reply))
             return reply
         return await self._call_both(call)
 
@@ -118,20 +118,20 @@
                 # If other direct calls succeeded meanwhile, this one is only slow.
                 if self._last_direct_success < started:
                     reason = _reason(direct.result()) if direct.done() else "silent"
-                    self._set_access(StoreAccess.RELAYED, reason)
+                    self._set_path(StorePath.RELAYED, reason)
                 return relay.result()
         reply = direct.result()
         # One failed call doesn't matter while other direct calls succeed.
         now = asyncio.get_running_loop().time()
         if now > self._last_direct_success + UNAVAILABLE_AFTER:
-            self._set_access(StoreAccess.NONE, _reason(reply))
+            self._set_path(StorePath.NONE, _reason(reply))
         return reply
 
     async def _try_direct(self, call: StoreCall) -> StoreReply | Failure:
         reply = await self._direct.call(call)
         if _succeeded(reply):
             self._last_direct_success = asyncio.get_running_loop().time()
-            self._set_access(StoreAccess.DIRECT, "")
+            self._set_path(StorePath.DIRECT, "")
         return reply
 
     def _probe_due(self, interval: float) -> bool:
@@ -141,16 +141,16 @@
         self._next_probe = now + interval
         return True
 
-    def _set_access(self, access: StoreAccess, reason: str) -> None:
-        if access is self._access:
+    def _set_path(self, path: StorePath, reason: str) -> None:
+        if path is self._path:
             return
         log.info(
             "the store is reached {}, before {}; {}",
-            access.value,
-            self._access.value,
+            path.value,
+            self._path.value,
             reason,
         )
-        self._access = access
+        self._path = path
 
 
 def _succeeded(reply: StoreReply | Failure) -> bool:
--- a/sequoiaarch/tests/storage/ways_tests.py
+++ b/sequoiaarch/tests/storage/ways_tests.py
@@ -8,7 +8,7 @@
 from ...errors import ErrorKind, Failure
 from ...storage.calls import StoreCall, StoreReply
 from ...storage.hedged import HedgedClient
-from ...storage.relayed import RelayedClient, StoreAccess
+from ...storage.relayed import RelayedClient, StorePath
 
 TIMEOUT = 10.0
 CALL = StoreCall(method="GET", path="/x", timeout=TIMEOUT)
@@ -78,10 +78,10 @@
         client = RelayedClient(direct=direct, relay=relay.call)
         for _ in range(5):
             self.assertEqual(await client.call(CALL), SUCCESS)
-        self.assertIs(client.access, StoreAccess.RELAYED)
+        self.assertIs(client.path, StorePath.RELAYED)
         direct.replies = [SUCCESS]
         async with asyncio.timeout(TIMEOUT):
-            while client.access is not StoreAccess.DIRECT:
+            while client.path is not StorePath.DIRECT:
                 await client.call(CALL)
                 await asyncio.sleep(0.05)
 
@@ -96,7 +96,7 @@
         )
         async with asyncio.timeout(TIMEOUT):
             self.assertEqual(await client.call(CALL), SUCCESS)
-        self.assertIs(client.access, StoreAccess.RELAYED)
+        self.assertIs(client.path, StorePath.RELAYED)
         self.assertEqual(direct.calls, 1)
 
     async def test_slow_call_among_successful_ones(self) -> None:
@@ -116,7 +116,7 @@
         await asyncio.wait_for(relay_called.wait(), TIMEOUT)
         self.assertEqual(await client.call(CALL), SUCCESS)
         self.assertEqual(await slow_call, SUCCESS)
-        self.assertIs(client.access, StoreAccess.DIRECT)
+        self.assertIs(client.path, StorePath.DIRECT)
 
     async def test_failed_call_among_successful_ones(self) -> None:
         """One failed call doesn't mark the store unavailable after a success.
@@ -128,7 +128,7 @@
         await client.call(CALL)
         direct.replies = [FAILED]
         self.assertEqual(await client.call(CALL), FAILED)
-        self.assertIs(client.access, StoreAccess.DIRECT)
+        self.assertIs(client.path, StorePath.DIRECT)
         direct.replies = [SUCCESS]
         self.assertEqual(await client.call(CALL), SUCCESS)
 
@@ -152,12 +152,12 @@
         await asyncio.sleep(0)
         direct.replies = [SUCCESS]
         async with asyncio.timeout(TIMEOUT):
-            while client.access is not StoreAccess.DIRECT:
+            while client.path is not StorePath.DIRECT:
                 await client.call(CALL)
                 await asyncio.sleep(0.05)
             relay_allowed.set()
             self.assertEqual(await pending, SUCCESS)
-        self.assertIs(client.access, StoreAccess.DIRECT)
+        self.assertIs(client.path, StorePath.DIRECT)
 
     async def test_unavailable_store_is_probed(self) -> None:
         """An unavailable store is probed at intervals, not by every call.
@@ -167,7 +167,7 @@
         direct, relay = _FakeClient(FAILED), _FakeClient(FAILED)
         client = RelayedClient(direct=direct, relay=relay.call)
         self.assertIsInstance(await client.call(CALL), Failure)
-        self.assertIs(client.access, StoreAccess.NONE)
+        self.assertIs(client.path, StorePath.NONE)
         for _ in range(100):
             self.assertIsInstance(await client.call(CALL), Failure)
         self.assertLess(direct.calls, 10)
@@ -175,4 +175,4 @@
         async with asyncio.timeout(TIMEOUT):
             while await client.call(CALL) != SUCCESS:
                 await asyncio.sleep(0.05)
-        self.assertIs(client.access, StoreAccess.DIRECT)
+        self.assertIs(client.path, StorePath.DIRECT)
