--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -240,10 +240,10 @@
         *,
         context: zmq.asyncio.Context,
         address: str,
-        caller: StoreClient,
+        client: StoreClient,
         reaches_store: Callable[[], bool] = lambda: True,
     ) -> None:
-        self._caller = caller
+        self._client = client
         self._reaches_store = reaches_store
         self.fallback: Handler = _reject_request
         self._responder = Responder(
@@ -273,7 +273,7 @@
                     request.call, "store is not reachable from this peer either"
                 )
             )
-        reply = await self._caller.call(request.call)
+        reply = await self._client.call(request.call)
         if isinstance(reply, Failure):
             return Failed(failure=reply)
         return StoreAnswer(reply=reply)
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -51,24 +51,24 @@
         seeds=options.seeds,
         rng=random.Random(),
     )
-    caller = RelayedClient(
+    client = RelayedClient(
         direct=direct, relay=peers.relay, relay_delay=lambda: direct.relay_delay
     )
     server = PeerServer(
         context=context,
         address=options.inner,
-        caller=direct,
-        reaches_store=lambda: caller.path is StorePath.DIRECT,
+        client=direct,
+        reaches_store=lambda: client.path is StorePath.DIRECT,
     )
     daemon = IngressDaemon(
         options=options,
-        keyed_log=PlatformLog(caller=caller),
+        keyed_log=PlatformLog(client=client),
         codec=PlatformCallCodec(),
         sources=SOURCES,
         peers=peers,
         reload=lambda: read_settings(path),
         events=events,
-        store_path=lambda: caller.path,
+        store_path=lambda: client.path,
     )
     server.fallback = daemon.answer_peer
     server_task = asyncio.create_task(server.run())
--- a/sequoiaarch/platform/store.py
+++ b/sequoiaarch/platform/store.py
@@ -54,8 +54,8 @@
 class PlatformLog:
     """Keyed log in the platform's store."""
 
-    def __init__(self, *, caller: StoreClient) -> None:
-        self._caller = caller
+    def __init__(self, *, client: StoreClient) -> None:
+        self._client = client
 
     async def append(
         self, partition: Partition, records: list[KeyedRecord], *, writer: Writer
@@ -68,7 +68,7 @@
             epoch=writer.epoch,
             sequence=writer.sequence,
         )
-        reply = await self._caller.call(call)
+        reply = await self._client.call(call)
         if isinstance(reply, Failure):
             return reply
         if reply.status != 200:
@@ -83,7 +83,7 @@
     ) -> bool | Failure:
         """Append if the partition still ends at `end`; return whether it did."""
         call = _append_call(partition, records, asOf=end)
-        reply = await self._caller.call(call)
+        reply = await self._client.call(call)
         if isinstance(reply, Failure):
             return reply
         if reply.status == 412:
@@ -108,7 +108,7 @@
             timeout=wait + (LONG_POLL_MARGIN if wait else READ_TIMEOUT),
             waits=wait > 0,
         )
-        reply = await self._caller.call(call)
+        reply = await self._client.call(call)
         if isinstance(reply, Failure):
             return reply
         if reply.status == 410:
@@ -134,7 +134,7 @@
                 path=f"/-/log-newest?{urlencode(query)}",
                 timeout=PAGE_TIMEOUT,
             )
-            reply = await self._caller.call(call)
+            reply = await self._client.call(call)
             if isinstance(reply, Failure):
                 return reply
             if reply.status == 404:
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -95,7 +95,7 @@
     )
 
 
-class FailingStoreCaller:
+class FailingStoreClient:
     """Store caller that fails every call."""
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
@@ -112,7 +112,7 @@
         self.name = HostName(name)
         self.client = client
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -48,7 +48,7 @@
     SettleRequest,
     TurnOpened,
 )
-from .delegates_tests import FailingStoreCaller
+from .delegates_tests import FailingStoreClient
 
 PROGRAM = ProgramId("program")
 BUDGET = 2000
@@ -88,7 +88,7 @@
         self.writer = WriterId(writer or f"writer-{name}")
         self.client = store.client()
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.peers = Peers(
             context=context,
--- a/sequoiaarch/tests/fleet/peers_tests.py
+++ b/sequoiaarch/tests/fleet/peers_tests.py
@@ -75,7 +75,7 @@
         server = PeerServer(
             context=self.context,
             address="127.0.0.1:*",
-            caller=caller,
+            client=caller,
             reaches_store=lambda: caller.reaches_store,
         )
         task = asyncio.create_task(server.run())
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -25,7 +25,7 @@
 from ...workspaces.shares import ShareOwners
 from ...workspaces.sliding_window import QuotaBounds
 from ...workspaces.token_cache import TokenCache
-from .delegates_tests import FailingStoreCaller
+from .delegates_tests import FailingStoreClient
 
 WORKSPACE = Workspace("w")
 LIMIT = RateLimit(rate=2.0, burst=0.0)
@@ -43,7 +43,7 @@
         self.name = HostName(f"h{number}")
         self.data_centre = CENTRES[number % len(CENTRES)]
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
--- a/sequoiaarch/tests/fleet/registration_check_tests.py
+++ b/sequoiaarch/tests/fleet/registration_check_tests.py
@@ -17,7 +17,7 @@
 from ...wire.links import Send
 from ...wire.messages import RegistrationSeenRequest, Reply, Request
 from ...workspaces.host_lease import HostLease
-from .delegates_tests import FailingStoreCaller
+from .delegates_tests import FailingStoreClient
 
 LEASE = 4.0
 
@@ -30,7 +30,7 @@
         self.writer = WriterId(f"writer-{name}")
         self.now = 100.0
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -16,7 +16,7 @@
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, TargetReport
-from .delegates_tests import FailingStoreCaller
+from .delegates_tests import FailingStoreClient
 
 TARGET = InstanceId("target")
 LOCAL_CENTRE = DataCentre("here")
@@ -33,7 +33,7 @@
         self.name = HostName(name)
         self.data_centre = data_centre
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
--- a/sequoiaarch/tests/platform/foreign_tests.py
+++ b/sequoiaarch/tests/platform/foreign_tests.py
@@ -127,7 +127,7 @@
 
 def read(body: bytes) -> PlatformLog:
     """Return a log whose store answers with the bytes."""
-    return PlatformLog(caller=_Replies(body))
+    return PlatformLog(client=_Replies(body))
 
 
 def run(answer: Awaitable[Any]) -> Any:
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -30,7 +30,7 @@
         self.http = HttpStore(page=2)
         await self.http.server.start("127.0.0.1", 0)
         address = ("127.0.0.1", self.http.server.port)
-        self.log = PlatformLog(caller=DirectClient(address=address))
+        self.log = PlatformLog(client=DirectClient(address=address))
 
     async def asyncTearDown(self) -> None:
         """Stop the stand-in."""
