--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -95,9 +95,9 @@
         self._carried.clear()
         self._lenders = None
         for record in records:
-            self.change(record)
+            self.apply(record)
 
-    def change(self, record: ListedRecord) -> None:
+    def apply(self, record: ListedRecord) -> None:
         """Apply one record: a claim, carried loans, or a removal."""
         self._claims.pop(record.key, None)
         self._carried.pop(record.key, None)
--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -115,7 +115,7 @@
             log=keyed_log,
             topic=PEERS_TOPIC,
             replace=self._replace_peers,
-            change=self._change_peer,
+            apply=self._apply_peer,
             wait=limits.wait,
             on_read=self.host_lease.renew,
         )
@@ -150,7 +150,7 @@
                 log=keyed_log,
                 topic=CLAIMS_TOPIC,
                 replace=claims.replace,
-                change=claims.change,
+                apply=claims.apply,
                 wait=CLAIMS_READ_WAIT,
             ),
         ]
@@ -204,8 +204,8 @@
         self._peers.replace(records)
         self._hosts_changed()
 
-    def _change_peer(self, record: ListedRecord) -> None:
-        self._peers.change(record)
+    def _apply_peer(self, record: ListedRecord) -> None:
+        self._peers.apply(record)
         self._hosts_changed()
 
     def _hosts_changed(self) -> None:
--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -85,14 +85,14 @@
         self._known.clear()
         self._own_writer = WriterId("")
         for record in records:
-            self._apply(record)
+            self._update_registration(record)
         self._notify_own_registration(ordered=False)
         self._listed.set()
         self._rebuild_indexes()
 
-    def change(self, record: KeyedRecord) -> None:
+    def apply(self, record: KeyedRecord) -> None:
         """Apply one registration or its removal."""
-        self._apply(record)
+        self._update_registration(record)
         if record.key == self._own:
             self._notify_own_registration(ordered=True)
         self._rebuild_indexes()
@@ -172,7 +172,7 @@
         """Close all links."""
         self._links.close()
 
-    def _apply(self, record: KeyedRecord) -> None:
+    def _update_registration(self, record: KeyedRecord) -> None:
         host = HostName(record.key)
         decoded = _decode(record)
         if host == self._own:
--- a/sequoiaarch/ingress/configuration.py
+++ b/sequoiaarch/ingress/configuration.py
@@ -37,7 +37,7 @@
             log=keyed_log,
             topic=sources.routes_topic,
             replace=self._apply_all,
-            change=self._apply,
+            apply=self._apply,
             wait=max_read_wait(access.limit),
         )
         access.age = lambda: boottime_clock() - self._follower.as_of
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -172,7 +172,7 @@
             log=keyed_log,
             topic=sources.targets_topic,
             replace=registrations.replace,
-            change=registrations.apply,
+            apply=registrations.apply,
             batch_delay=TARGETS_BATCH_DELAY,
             on_lost=self.targets.store_lost,
             on_regained=self.targets.store_regained,
--- a/sequoiaarch/routing/follower.py
+++ b/sequoiaarch/routing/follower.py
@@ -39,7 +39,7 @@
         log: KeyedLog,
         topic: str,
         replace: Callable[[Sequence[ListedRecord]], None],
-        change: Callable[[ListedRecord], None],
+        apply: Callable[[ListedRecord], None],
         batch_delay: float = 0.0,
         wait: float = WAIT_SECONDS,
         on_lost: Callable[[], None] = lambda: None,
@@ -49,7 +49,7 @@
         self._log = log
         self._partition = Partition(topic=topic, number=0)
         self._replace = replace
-        self._change = change
+        self._apply = apply
         self._batch_delay = batch_delay
         self._wait = wait
         self._on_lost = on_lost
@@ -101,7 +101,7 @@
             return page.reason
         assert not isinstance(page, LogGap)
         for number, record in enumerate(page.records, page.start):
-            self._change(
+            self._apply(
                 ListedRecord(key=record.key, value=record.value, offset=Offset(number))
             )
         self._cursor = page.next
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -154,7 +154,7 @@
             for other in processes.values():
                 record = PeerRecord(address=other.address, data_centre=LOCAL_CENTRE)
                 value = msgspec.json.encode(record)
-                process.peers.change(KeyedRecord(key=other.name, value=value))
+                process.peers.apply(KeyedRecord(key=other.name, value=value))
         delegate = processes["one"].delegates.delegate_of(PROGRAM) or HostName("one")
         self.delegate = processes.pop(delegate)
         self.other = processes.popitem()[1]
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -142,13 +142,13 @@
                 log=self.client,
                 topic=PEERS_TOPIC,
                 replace=self.peers.replace,
-                change=self.peers.change,
+                apply=self.peers.apply,
             ),
             TopicFollower(
                 log=self.client,
                 topic=CLAIMS_TOPIC,
                 replace=self.claims.replace,
-                change=self.claims.change,
+                apply=self.claims.apply,
             ),
         ]
         parts = [one.follow() for one in followers]
--- a/sequoiaarch/tests/fleet/peers_tests.py
+++ b/sequoiaarch/tests/fleet/peers_tests.py
@@ -88,7 +88,7 @@
         """Apply a registration record of a peer."""
         record = PeerRecord(address=address, data_centre=data_centre)
         value = msgspec.json.encode(record)
-        self.peers.change(KeyedRecord(key=name, value=value))
+        self.peers.apply(KeyedRecord(key=name, value=value))
 
     async def relay_call(self) -> str:
         """Relay a call and return the name of the peer that made it."""
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -104,7 +104,7 @@
                     writer=WriterId(other.name),
                 )
                 value = msgspec.json.encode(record)
-                host.peers.change(KeyedRecord(key=other.name, value=value))
+                host.peers.apply(KeyedRecord(key=other.name, value=value))
         self.serving = [asyncio.create_task(other.server.run()) for other in self.hosts]
 
     async def asyncTearDown(self) -> None:
--- a/sequoiaarch/tests/fleet/registration_check_tests.py
+++ b/sequoiaarch/tests/fleet/registration_check_tests.py
@@ -61,7 +61,7 @@
             address=other.address, data_centre=DataCentre("here"), writer=other.writer
         )
         value = msgspec.json.encode(record)
-        self.peers.change(KeyedRecord(key=other.name, value=value))
+        self.peers.apply(KeyedRecord(key=other.name, value=value))
 
 
 class RegistrationCheckTests(unittest.IsolatedAsyncioTestCase):
--- a/sequoiaarch/tests/fleet/scaling_tests.py
+++ b/sequoiaarch/tests/fleet/scaling_tests.py
@@ -118,7 +118,7 @@
                 self.assertEqual(score_mock.call_count, 0)
                 # A large data centre has few slots for each host.
                 self.assertGreaterEqual(len(found), 0.9 * size // DATA_CENTRES)
-            host.peers.change(KeyedRecord(key="h5", value=b""))
+            host.peers.apply(KeyedRecord(key="h5", value=b""))
             self.assertNotIn(
                 "h5", {delegates.delegate_of(program) for program in programs}
             )
@@ -135,7 +135,7 @@
                 value=json.dumps(value).encode(),
                 offset=Offset(number),
             )
-            claims.change(record)
+            claims.apply(record)
         self.assertEqual(len(claims.lenders_of(7)), 540)
         with mock.patch.object(claims, "all") as sorting:
             self.assertEqual(
@@ -153,5 +153,5 @@
         self.assertEqual(host.peers.host_of(writer_of(2)), "h2")
         record = PeerRecord(address="x:1", data_centre=DataCentre("0"))
         value = json.dumps({"address": record.address, "data_centre": "0"}).encode()
-        host.peers.change(KeyedRecord(key="h2", value=value))
+        host.peers.apply(KeyedRecord(key="h2", value=value))
         self.assertIsNone(host.peers.host_of(writer_of(2)))
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -91,7 +91,7 @@
                     address=other.address, data_centre=other.data_centre
                 )
                 value = msgspec.json.encode(record)
-                host.peers.change(KeyedRecord(key=other.name, value=value))
+                host.peers.apply(KeyedRecord(key=other.name, value=value))
         self.serving = [
             asyncio.create_task(host.server.run()) for host in self.hosts.values()
         ]
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -202,9 +202,9 @@
     def test_invalid_claim_is_skipped(self) -> None:
         """Keep the other claims if one can't be decoded."""
         claims = Claims()
-        claims.change(self.record("a", 0))
-        claims.change(ListedRecord(key="x/0", value=b"\xff", offset=Offset(1)))
-        claims.change(self.record("b", 2, slots='["none"]'))
+        claims.apply(self.record("a", 0))
+        claims.apply(ListedRecord(key="x/0", value=b"\xff", offset=Offset(1)))
+        claims.apply(self.record("b", 2, slots='["none"]'))
         self.assertEqual(self.ranks(claims, 1), {"a": 0})
 
     def test_claim_outlives_its_loans(self) -> None:
@@ -217,7 +217,7 @@
         clock = Clock()
         expiry = ClaimExpiry(clock=clock)
         claims = Claims()
-        claims.change(self.record("a", 0))
+        claims.apply(self.record("a", 0))
         not_live = lambda writer: False  # noqa: E731
         self.assertEqual(expiry.expired(claims.writers(), not_live, RETENTION), [])
         clock.now = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
@@ -230,7 +230,7 @@
         clock = Clock()
         expiry = ClaimExpiry(clock=clock)
         claims = Claims()
-        claims.change(self.record("a", 0))
+        claims.apply(self.record("a", 0))
         expiry.expired(claims.writers(), lambda writer: False, RETENTION)
         clock.now = 150.0
         expiry.expired(claims.writers(), lambda writer: True, RETENTION)
