--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -69,7 +69,7 @@
 
     def answer(self, request: TakeTokensRequest) -> Reply:
         """Handle a request of another gateway for tokens."""
-        tokens = self._limiter.take(
+        tokens = self._limiter.grant(
             request.workspace, request.share, request.count, begins=request.begins
         )
         return TokensTaken(tokens=tokens)
@@ -86,7 +86,7 @@
     ) -> TokenGrant:
         count = self._token_cache.wanted(workspace)
         if host == self._own:
-            return self._limiter.take(workspace, share, count, begins=begins)
+            return self._limiter.grant(workspace, share, count, begins=begins)
         link = self._peers.link(host)
         if link is None or not self._peer_health.usable(host):
             return NOT_OWNED
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -151,10 +151,10 @@
 def hands_out_everything() -> None:
     """Hand out every token that is asked for."""
 
-    def take(self: ShareWindow, count: int, *_: Any, **__: Any) -> int:
+    def grant(self: ShareWindow, count: int, *_: Any, **__: Any) -> int:
         return count
 
-    setattr(ShareWindow, "take", take)  # noqa: B010
+    setattr(ShareWindow, "grant", grant)  # noqa: B010
 
 
 PLANTS: dict[str, Callable[[], None]] = {
--- a/sequoiaarch/tests/workspaces/simulation.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -112,7 +112,7 @@
         """Grant tokens to another process or this one."""
         if self.fleet.missing.new_owner_starts_full:
             self._fill()
-        return self.limiter.take(WORKSPACE, share, count, begins=begins)
+        return self.limiter.grant(WORKSPACE, share, count, begins=begins)
 
     def _fill(self) -> None:
         """Clear new windows, as if no previous owner had granted tokens."""
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -69,7 +69,7 @@
         self._rng = rng
         self._shares: dict[tuple[Workspace, int], _Share] = {}
 
-    def take(
+    def grant(
         self, workspace: Workspace, share: int, count: int, *, begins: bool
     ) -> TokenGrant:
         """Grant up to `count` tokens, or return when to retry."""
@@ -77,9 +77,9 @@
         if found is None:
             return NOT_OWNED
         now = self._clock()
-        taken = found.window.take(count, now, begins=begins)
-        if taken:
-            return TokenGrant(count=taken)
+        granted = found.window.grant(count, now, begins=begins)
+        if granted:
+            return TokenGrant(count=granted)
         wait = found.window.wait(now, begins=begins)
         return TokenGrant(wait=wait + self._spread(found, now))
 
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -62,7 +62,7 @@
             return until
         waits = []
         for share in range(SHARES):
-            found = self._limiter.take(workspace, share, 1, begins=begins)
+            found = self._limiter.grant(workspace, share, 1, begins=begins)
             if found.count:
                 return self._token_cache.put(workspace, 0, asked=asked)
             waits.append(found.wait or 0.0)
--- a/sequoiaarch/workspaces/sliding_window.py
+++ b/sequoiaarch/workspaces/sliding_window.py
@@ -92,7 +92,7 @@
         # Until when no token is available, by whether the request begins a program.
         self._empty_until = {True: since, False: since}
 
-    def take(self, count: int, now: float, *, begins: bool) -> int:
+    def grant(self, count: int, now: float, *, begins: bool) -> int:
         """Grant up to `count` tokens and return how many were granted.
 
         One caller gets at most a quarter of the free tokens, but at least one.
@@ -105,9 +105,9 @@
                 now, begins=begins
             )
             return 0
-        taken = max(1, min(count, int(free / 4)))
-        self._add(taken, now)
-        return taken
+        granted = max(1, min(count, int(free / 4)))
+        self._add(granted, now)
+        return granted
 
     def free(self, now: float) -> float:
         """Return the number of tokens available now."""
@@ -120,7 +120,7 @@
         return found
 
     def wait(self, now: float, *, begins: bool) -> float:
-        """Return the seconds until a token is available, after a refused `take`."""
+        """Return the seconds until a token is available, after a refused `grant`."""
         return max(0.0, self._empty_until[begins] - now)
 
     def change(self, bounds: ShareBounds) -> None:
