--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -55,7 +55,7 @@
             answers.append(tokens)
         refusal = combined_refusal(answers)
         if refusal.kept:
-            self._token_cache.refuse(workspace, refusal.wait, begins=begins)
+            self._token_cache.record_refusal(workspace, refusal.wait, begins=begins)
         return refusal
 
     def release(self, caller: Caller, until: float) -> None:
--- a/sequoiaarch/workspaces/token_cache.py
+++ b/sequoiaarch/workspaces/token_cache.py
@@ -76,7 +76,9 @@
         if self._clock() < until:
             self._add(workspace, 1, until)
 
-    def refuse(self, workspace: Workspace, wait: float, *, begins: bool) -> None:
+    def record_refusal(
+        self, workspace: Workspace, wait: float, *, begins: bool
+    ) -> None:
         """Remember that no token is available for `wait` seconds."""
         held = self._entry(workspace)
         held.wait = wait
