--- a/sequoiaarch/fleet/registration_check.py
+++ b/sequoiaarch/fleet/registration_check.py
@@ -38,7 +38,7 @@
         while True:
             await asyncio.sleep(ASK_INTERVAL)
             if self._host_lease.pending and await self._seen_by_all():
-                self._host_lease.seen_by_all()
+                self._host_lease.activate()
 
     def answer(self, request: RegistrationSeenRequest) -> Reply:
         """Confirm that another host's registration is seen here."""
--- a/sequoiaarch/tests/workspaces/simulation.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -95,7 +95,7 @@
             self._update_lease(ordered=False)
         self.version = len(self.fleet.changes)
         if self.host_lease.pending and all(map(self._seen_by, self.view)):
-            self.host_lease.seen_by_all()
+            self.host_lease.activate()
         self.limiter.drop_unowned()
 
     def take(self, asked: float, begins: bool) -> bool:
--- a/sequoiaarch/workspaces/host_lease.py
+++ b/sequoiaarch/workspaces/host_lease.py
@@ -70,7 +70,7 @@
             self._begun if inherits else now + self._lease * CLOCK_MARGIN
         )
 
-    def seen_by_all(self) -> None:
+    def activate(self) -> None:
         """Activate the lease, as all other hosts see this host's registration."""
         if self._active_from is not None:
             self._active_from = min(self._active_from, self._clock())
