--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -67,7 +67,7 @@
 
     def request_started(self, instance: InstanceId) -> None:
         """Count a request to a target as running."""
-        self._health.request_sent(instance, asyncio.get_running_loop().time())
+        self._health.request_started(instance, asyncio.get_running_loop().time())
         self._loads[instance].running += 1
 
     def request_ended(self, instance: InstanceId) -> None:
--- a/sequoiaarch/policies/health.py
+++ b/sequoiaarch/policies/health.py
@@ -28,14 +28,14 @@
 # a target that still fails costs one request, not one of each host. Seconds.
 PROBE_STAGGER = 0.2
 # No other request follows a probe within this time. Seconds.
-PROBE_SECONDS = 0.5
+PROBE_INTERVAL = 0.5
 # Minimum interval between reports of the same target. Seconds.
 REPORT_INTERVAL = 0.2
 # Failure reports of other hosts are ignored for this time after a response to this
 # host: they may be cut off from the target. Seconds.
 OWN_RESPONSE_WINDOW = 0.2
 # Failure rate of an ejected target.
-EJECTED = 1.0
+EJECTED_FAILURE_RATE = 1.0
 # Limit on remembered targets, as reports may arrive after a target has left; the
 # oldest record is dropped first.
 MAX_RECORDS = 4096
@@ -54,7 +54,7 @@
     """Hold the health of one target; times are on the caller's clock.
 
     `ejected` holds until the first answer after an ejection. This host may probe the
-    target from `probe_from` on, and again after `probe_until`.
+    target from `probe_from` on, and again after `next_probe`.
     """
 
     failure_rate: float = 0.0
@@ -65,7 +65,7 @@
     probe_from: float = float("-inf")
     ejection: float = EJECTION_SECONDS
     ejected: bool = False
-    probe_until: float = float("-inf")
+    next_probe: float = float("-inf")
     ejections: int = 0
     last_response: float = float("-inf")
 
@@ -124,19 +124,19 @@
         """Record that a target sent a valid response to this host."""
         self._record(instance).last_response = now
 
-    def request_sent(self, instance: InstanceId, now: float) -> None:
+    def request_started(self, instance: InstanceId, now: float) -> None:
         """Record that a request is sent to a target."""
         record = self._records.get(instance)
         if record is not None and record.ejected:
-            record.probe_until = now + PROBE_SECONDS
+            record.next_probe = now + PROBE_INTERVAL
 
     def failure_rate(self, instance: InstanceId, now: float) -> float:
         """Return the expected fraction of requests that fail at a target."""
         record = self._records.get(instance)
         if record is None:
             return 0.0
-        if record.ejected and now < max(record.probe_from, record.probe_until):
-            return EJECTED
+        if record.ejected and now < max(record.probe_from, record.next_probe):
+            return EJECTED_FAILURE_RATE
         return _decayed_rate(record, now)
 
     def forget(self, instance: InstanceId) -> None:
@@ -190,7 +190,7 @@
 
     def _readmit(self, instance: InstanceId, record: _Record) -> None:
         record.ejected = False
-        record.ejected_until = record.probe_until = float("-inf")
+        record.ejected_until = record.next_probe = float("-inf")
         record.ejection = max(record.ejection / 2, EJECTION_SECONDS)
         record.reports.clear()
         log.info("target {} is used again", instance)
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -12,7 +12,7 @@
 from ...fleet.peers import PeerRecord, Peers, PeerServer
 from ...fleet.target_reports import TargetReports
 from ...ids import DataCentre, HostName, InstanceId
-from ...policies.health import EJECTED, TargetHealth
+from ...policies.health import EJECTED_FAILURE_RATE, TargetHealth
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, TargetReport
@@ -66,7 +66,7 @@
     def passes_over(self) -> bool:
         """Return whether this host avoids the target."""
         now = asyncio.get_running_loop().time()
-        return self.health.failure_rate(TARGET, now) == EJECTED
+        return self.health.failure_rate(TARGET, now) == EJECTED_FAILURE_RATE
 
 
 class TargetReportsTests(unittest.IsolatedAsyncioTestCase):
--- a/sequoiaarch/tests/ingress/load_tests.py
+++ b/sequoiaarch/tests/ingress/load_tests.py
@@ -8,7 +8,7 @@
 
 from ...ids import HostName, InstanceId
 from ...ingress.load import SILENCE_CHECK_INTERVAL, LoadTracker
-from ...policies.health import EJECTED, TargetHealth, first_event_due
+from ...policies.health import EJECTED_FAILURE_RATE, TargetHealth, first_event_due
 
 TARGET = InstanceId("target")
 OTHER = HostName("other")
@@ -46,7 +46,7 @@
         self.advance(0.15)
         self.assertEqual(self.reported, [False])
         self.health.report_received(TARGET, OTHER, ok=False, now=self.now)
-        self.assertEqual(self.tracker.failure_rate(TARGET), EJECTED)
+        self.assertEqual(self.tracker.failure_rate(TARGET), EJECTED_FAILURE_RATE)
         self.advance(5.0)
         self.assertEqual(self.reported, [False], "each silence is reported once")
 
--- a/sequoiaarch/tests/policies/health_tests.py
+++ b/sequoiaarch/tests/policies/health_tests.py
@@ -86,7 +86,7 @@
             number = rng.randrange(self.hosts)
             health = self.healths[number]
             chosen, _ = policy.choose(PromptShape(parts=()), _candidates(health, now))
-            health.request_sent(chosen, now)
+            health.request_started(chosen, now)
             if chosen is not NEAR:
                 continue
             self.near_requests.append(now)
