--- a/sequoiaarch/fleet/loan_service.py
+++ b/sequoiaarch/fleet/loan_service.py
@@ -52,7 +52,7 @@
         return False
 
     @property
-    def granted(self) -> bool:
+    def is_granted(self) -> bool:
         """Return True: a loan needs no further confirmation."""
         return True
 
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -103,7 +103,7 @@
         return TurnOpened(
             history=opened.history,
             spent=opened.spent,
-            granted=opened.granted,
+            granted=opened.is_granted,
             covered=opened.covered,
         )
 
--- a/sequoiaarch/ledger/holds.py
+++ b/sequoiaarch/ledger/holds.py
@@ -19,7 +19,7 @@
         """Return True if the log granted it, False if a lender did."""
 
     @property
-    def granted(self) -> bool:
+    def is_granted(self) -> bool:
         """Return whether the turn is already known to fit."""
 
     @property
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -55,7 +55,7 @@
         account.open.append(allocation)
 
     @property
-    def granted(self) -> bool:
+    def is_granted(self) -> bool:
         """Return whether the grant is known to cover what the turn has reserved.
 
         The caller may then use that part, so it is marked as confirmed.
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -116,9 +116,9 @@
         return "here" if self._hold.from_log else f"here, {self.covered} lent"
 
     @property
-    def granted(self) -> bool:
+    def is_granted(self) -> bool:
         """Return whether the turn is already known to fit."""
-        return self._hold.granted
+        return self._hold.is_granted
 
     @property
     def covered(self) -> int | None:
--- a/sequoiaarch/tests/ledger/fake_lender.py
+++ b/sequoiaarch/tests/ledger/fake_lender.py
@@ -14,7 +14,7 @@
     def __init__(self, *, terms: TurnTerms) -> None:
         self.terms = terms
         self.from_log = False
-        self.granted = True
+        self.is_granted = True
         self.covered: int | None = terms.most
         self.closed = False
 
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -483,9 +483,9 @@
         self.clients["a"].faults.lost_answers = 1
         covering = asyncio.create_task(hold.cover(before + 1))
         await asyncio.sleep(0)
-        self.assertFalse(hold.granted)
+        self.assertFalse(hold.is_granted)
         self.assertTrue(await covering)
-        self.assertTrue(hold.granted)
+        self.assertTrue(hold.is_granted)
 
     async def test_grants_of_a_lost_process_count_as_spent(self) -> None:
         """Count what a lost process was granted as spent."""
