--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -27,7 +27,7 @@
 RELEASE_AFTER = 0.8
 RELEASE_INTERVAL = 0.4
 # Time within which a live process releases what its turns left unused. Seconds.
-RELEASE_DEADLINE = 2.0
+RELEASE_TIMEOUT = 2.0
 # Accounts outlive the retention of their program by this margin, as the program may
 # resume at the last moment. Seconds.
 FORGET_AFTER = 60.0
@@ -159,12 +159,12 @@
     def _refresh(self, account: Account, now: float) -> None:
         """Publish the demand of open turns again while they run.
 
-        Other processes ignore a demand that is older than `RELEASE_DEADLINE`. Without
+        Other processes ignore a demand that is older than `RELEASE_TIMEOUT`. Without
         the refresh, a turn queued at a busy engine would lose the rest of its budget
         and be cut off.
         """
         partly = account.wanted > account.granted
-        due = account.published_at + RELEASE_DEADLINE / 2 < now
+        due = account.published_at + RELEASE_TIMEOUT / 2 < now
         if partly and due and account.up_to_date and not account.partition.unavailable:
             self._write(account, account.granted, urgent=False)
 
@@ -191,7 +191,7 @@
         lost.
         """
         state = account.partition.state
-        return state.wanted_by_others(account.program, state.now() - RELEASE_DEADLINE)
+        return state.wanted_by_others(account.program, state.now() - RELEASE_TIMEOUT)
 
     def _get_account(self, partition: LedgerPartition, terms: TurnTerms) -> Account:
         account = self._accounts.get(terms.program)
@@ -251,7 +251,7 @@
         total = state.used_by_others(account.program) + account.used
         if total + account.max_turn_tokens > account.limit:
             return BudgetVerdict.EXCEEDED
-        releasing = state.may_release(account.program, state.now() - RELEASE_DEADLINE)
+        releasing = state.may_release(account.program, state.now() - RELEASE_TIMEOUT)
         open_here = any(allocation.remaining for allocation in account.open)
         # The conflicting grant may have been released by the time this is read.
         fits_now = self._fits(account, terms)
@@ -350,7 +350,7 @@
     def _update_ceiling(self, account: Account) -> None:
         """Store what the other grants left free at the newest grant's position."""
         state = account.partition.state
-        since = state.now() - RELEASE_DEADLINE
+        since = state.now() - RELEASE_TIMEOUT
         beside = state.wanted_by_others_at_grant(account.program, self._writer, since)
         account.ceiling = None if beside is None else account.limit - beside
 
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -459,7 +459,7 @@
             return failure_reply("not open here")
 
         self.set_delegate_handler(reject)
-        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.5):
+        with mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.5):
             self.assertTrue(await turn.cover(70))
         turn.close()
 
--- a/sequoiaarch/tests/ledger/budget_invariant_tests.py
+++ b/sequoiaarch/tests/ledger/budget_invariant_tests.py
@@ -131,7 +131,7 @@
         # Debug mode of the event loop takes most of the time.
         asyncio.get_running_loop().set_debug(False)
         refused = crashed = 0
-        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.0):
             for seed in SEEDS:
                 with self.subTest(seed=seed):
                     scenario = _Scenario(seed=seed)
--- a/sequoiaarch/tests/ledger/crash_tests.py
+++ b/sequoiaarch/tests/ledger/crash_tests.py
@@ -157,7 +157,7 @@
 
     def setUp(self) -> None:
         """Let no process wait for another one to release tokens."""
-        patch = mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0)
+        patch = mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.0)
         patch.start()
         self.addCleanup(patch.stop)
 
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -306,7 +306,7 @@
         fresh = await self.ledger("b")
         # Before this deadline the turn is refused as held, since a live process may
         # release the tokens.
-        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.0):
             result = await fresh.reserve(small_terms("t3"))
         self.assertIsInstance(result, Reservation)
 
@@ -328,7 +328,7 @@
         first.record_usage(MOST)
         fresh = await self.ledger("b")
         used = MOST
-        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.0):
             for number in range(4):
                 hold = await fresh.reserve(small_terms(f"u{number}"))
                 if isinstance(hold, Reservation):
@@ -362,7 +362,7 @@
             return msgspec.structs.replace(terms(turn), budget=budget)
 
         with (
-            mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.6),
+            mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.6),
             mock.patch.object(budgets_module, "RELEASE_INTERVAL", 0.1),
             mock.patch.object(ledger_module, "RELEASE_INTERVAL", 0.1),
         ):
