--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -30,7 +30,7 @@
 RELEASE_TIMEOUT = 2.0
 # Accounts outlive the retention of their program by this margin, as the program may
 # resume at the last moment. Seconds.
-FORGET_AFTER = 60.0
+EXPIRY_MARGIN = 60.0
 
 
 class Budgets:
@@ -153,7 +153,7 @@
                     idle or self._is_scarce(account)
                 ) and not account.partition.unavailable:
                     self._lower_grant(account)
-            elif account.last_used + account.retention + FORGET_AFTER < now:
+            elif account.last_used + account.retention + EXPIRY_MARGIN < now:
                 del self._accounts[program]
 
     def _refresh(self, account: Account, now: float) -> None:
--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -12,7 +12,7 @@
 
 # Accounts outlive the retention of their program by this margin: the tokens of a
 # program that resumes must not be lent twice. Seconds.
-FORGET_AFTER = 60.0
+EXPIRY_MARGIN = 60.0
 # How long settled loans are remembered, to reject delayed duplicates of their requests.
 # Seconds.
 SETTLED_RETENTION = 120.0
@@ -108,7 +108,7 @@
         now = self._clock()
         self._forget_settled(now)
         for program, account in list(self._accounts.items()):
-            if account.last_used + account.retention + FORGET_AFTER < now:
+            if account.last_used + account.retention + EXPIRY_MARGIN < now:
                 del self._accounts[program]
 
     def _forget_settled(self, now: float) -> None:
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -29,7 +29,7 @@
 # stay for up to three intervals. Seconds.
 ROUND_SECONDS = 150.0
 # Time beyond the retention in which a resumed program writes its next record. Seconds.
-GRACE_PERIOD = 30.0
+EXPIRY_MARGIN = 30.0
 # Delay of the first round, until the other processes are known: the share of this
 # process depends on their number. Seconds.
 START_DELAY = 30.0
@@ -114,7 +114,7 @@
             if state is None or state.offset != offset:
                 state = _GroupState(offset=offset, first_seen=now)
             states[group] = state
-            if state.first_seen + _retention(records) + GRACE_PERIOD < now:
+            if state.first_seen + _retention(records) + EXPIRY_MARGIN < now:
                 ended.extend(record.key for record in records)
         return ended
 
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -29,7 +29,7 @@
 from ...ids import DataCentre, HostName, OpeningId, ProgramId, TurnId, WriterId
 from ...ledger.holds import NoLender
 from ...ledger.ledger import Ledger
-from ...ledger.loans import FORGET_AFTER, LoanBook
+from ...ledger.loans import EXPIRY_MARGIN as LOAN_EXPIRY_MARGIN, LoanBook
 from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
 from ...ledger.split import LendingSplit
@@ -638,7 +638,9 @@
         turn.record_usage(75)
         turn.close()
         await self.wait_until(lambda: self.lender.book.totals() == {PROGRAM: 375})
-        clock = mock.Mock(return_value=time.monotonic() + RETENTION + FORGET_AFTER + 1)
+        clock = mock.Mock(
+            return_value=time.monotonic() + RETENTION + LOAN_EXPIRY_MARGIN + 1
+        )
         self.lender.book._clock = clock
         self.lender.book.forget_old()
         self.assertEqual(self.lender.book.totals(), {})
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -10,7 +10,11 @@
 from ...fleet.claims import EXPIRY_MARGIN, LENDING_LEASE, ClaimExpiry, Claims
 from ...ids import LoanId, Offset, ProgramId, TurnId
 from ...ledger import loans as loans_module
-from ...ledger.loans import FORGET_AFTER, SETTLED_RETENTION, LoanBook
+from ...ledger.loans import (
+    EXPIRY_MARGIN as LOAN_EXPIRY_MARGIN,
+    SETTLED_RETENTION,
+    LoanBook,
+)
 from ...ledger.split import LendingSplit, LogOnlySplit
 from ...ledger.terms import TurnTerms
 from ...storage.keyed import ListedRecord
@@ -168,7 +172,7 @@
         """
         self.book.lend(LoanId("1"), terms(2000, 375), 0, MIN_LOAN)
         self.book.settle(LoanId("1"), PROGRAM, 375)
-        self.clock.now = RETENTION + FORGET_AFTER - 1
+        self.clock.now = RETENTION + LOAN_EXPIRY_MARGIN - 1
         self.book.forget_old()
         self.assertEqual(self.book.lend(LoanId("2"), terms(2000, 250), 0, MIN_LOAN), 0)
         self.clock.now *= 3
--- a/sequoiaarch/tests/ledger/sweeper_tests.py
+++ b/sequoiaarch/tests/ledger/sweeper_tests.py
@@ -14,13 +14,13 @@
     encode_record,
     grant_key,
 )
-from ...ledger.sweeper import GRACE_PERIOD, Sweeper
+from ...ledger.sweeper import EXPIRY_MARGIN, Sweeper
 from ...standins.keyed_store import KeyedStore, KeyedStoreClient
 
 PROGRAM = ProgramId("program")
 WRITER = WriterId("writer")
 RETENTION = 60.0
-EXPIRY = RETENTION + GRACE_PERIOD + 1
+EXPIRY = RETENTION + EXPIRY_MARGIN + 1
 
 
 def turn() -> bytes:
