--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -58,12 +58,12 @@
 STOP_RESERVE = 1.0
 WRITER_BYTES = 6
 # Share of the memory for the bodies of open requests.
-BODY_MEMORY_SHARE = 0.15
+BODY_MEMORY_FRACTION = 0.15
 # Share of the memory for the cache of committed turns.
-TURN_MEMORY_SHARE = 0.1
+TURN_MEMORY_FRACTION = 0.1
 # Share of the file descriptors for connections of callers; targets, store and peers
 # need the rest.
-CALLER_LINKS_SHARE = 0.6
+CALLER_CONNECTIONS_FRACTION = 0.6
 METRICS_PATH = b"/metrics"
 # Seconds for which a process without contact to its peers keeps its shares of rate
 # limits, where keys have no age limit.
@@ -98,7 +98,7 @@
             log=keyed_log,
             writer=writer,
             partition_map=partition_map,
-            turn_bytes=int(options.memory_bytes * TURN_MEMORY_SHARE),
+            turn_bytes=int(options.memory_bytes * TURN_MEMORY_FRACTION),
             split=split,
         )
         sweeper = Sweeper(
@@ -331,8 +331,8 @@
             body_bytes=limits.body_bytes,
             header_timeout=limits.header_timeout,
             idle_timeout=limits.idle_timeout,
-            held_bytes=int(self._options.memory_bytes * BODY_MEMORY_SHARE),
-            links=int(self._options.descriptors * CALLER_LINKS_SHARE),
+            held_bytes=int(self._options.memory_bytes * BODY_MEMORY_FRACTION),
+            links=int(self._options.descriptors * CALLER_CONNECTIONS_FRACTION),
         )
 
     def _forget_target(self, instance: InstanceId) -> None:
--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -21,7 +21,7 @@
 SMALL_BUDGET_TURNS = 4
 # Up to this share of the budget a turn may start before its grant is known. Beyond it
 # the turn waits for the log, so that a refused turn has never run.
-EARLY_START_SHARE = 0.5
+EARLY_START_FRACTION = 0.5
 # Idle time after which a program's unused grant is released, longer than the usual
 # pause between its turns. Seconds.
 RELEASE_AFTER = 0.8
@@ -181,7 +181,8 @@
             return True
         own = max(account.granted, account.published)
         return (
-            self._wanted_by_others(account) + own > account.budget * EARLY_START_SHARE
+            self._wanted_by_others(account) + own
+            > account.budget * EARLY_START_FRACTION
         )
 
     def _wanted_by_others(self, account: Account) -> int:
@@ -275,7 +276,7 @@
     def _may_start_early(self, account: Account, terms: TurnTerms) -> bool:
         """Return whether a turn may start before its grant is known."""
         after = self._wanted_by_others(account) + account.wanted + terms.most
-        return after <= terms.budget * EARLY_START_SHARE
+        return after <= terms.budget * EARLY_START_FRACTION
 
     def _may_reserve_fully(self, account: Account, terms: TurnTerms) -> bool:
         """Return whether a turn may reserve its maximum when it starts."""
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -12,7 +12,7 @@
 # Share of a turn's maximum that is reserved at its start, and again at each extension,
 # when the budget is scarce. Turns use a quarter of their maximum on average, so most
 # need no extension.
-RESERVED_SHARE = 1 / 3
+RESERVED_FRACTION = 1 / 3
 # Interval of the checks for an unavailable store while waiting for a grant. Seconds.
 STORE_CHECK_INTERVAL = 0.1
 
@@ -180,4 +180,4 @@
 
 def initial_share(most: int) -> int:
     """Return the tokens reserved at the start of a turn when the budget is scarce."""
-    return math.ceil(most * RESERVED_SHARE)
+    return math.ceil(most * RESERVED_FRACTION)
--- a/sequoiaarch/ledger/split.py
+++ b/sequoiaarch/ledger/split.py
@@ -9,10 +9,10 @@
 # Share of a budget that is kept for lenders, so that turns can go on while the log is
 # unavailable. The part of a lost lender counts as spent for minutes, so a larger share
 # would refuse programs after a crash.
-LENT_SHARE = 0.25
+LENDABLE_FRACTION = 0.25
 # Each further lender of a program gets this share of the part of the one before. The
 # parts are disjoint, so a new lender needs nothing from earlier ones.
-NEXT_LENDER_SHARE = 0.25
+NEXT_LENDER_FRACTION = 0.25
 
 
 class BudgetSplit(Protocol):
@@ -52,9 +52,9 @@
     def lender_limit(self, budget: int, rank: int) -> int:
         """Return the part of a rank; the parts of all ranks add up to a quarter."""
         return int(
-            _lendable(budget) * (1 - NEXT_LENDER_SHARE) * NEXT_LENDER_SHARE**rank
+            _lendable(budget) * (1 - NEXT_LENDER_FRACTION) * NEXT_LENDER_FRACTION**rank
         )
 
 
 def _lendable(budget: int) -> int:
-    return int(budget * LENT_SHARE)
+    return int(budget * LENDABLE_FRACTION)
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -25,7 +25,7 @@
 LOG_TIMEOUT = 0.3
 # Smallest useful loan, as a share of the turn's maximum; most turns would use up a
 # smaller one before they end.
-MIN_LOAN_SHARE = 0.4
+MIN_LOAN_FRACTION = 0.4
 # How long a stream waits for more budget, about as long as callers wait for an event,
 # and the interval of its retries. Seconds.
 COVER_TIMEOUT = 2.0
@@ -301,7 +301,7 @@
     unavailable, but not near the end of a budget.
     """
     uncertain = verdict is BudgetVerdict.UNCERTAIN
-    least = int(terms.most * MIN_LOAN_SHARE) if uncertain else terms.most
+    least = int(terms.most * MIN_LOAN_FRACTION) if uncertain else terms.most
     return await lender.borrow(terms, least=least)
 
 
--- a/sequoiaarch/platform/settings.py
+++ b/sequoiaarch/platform/settings.py
@@ -16,7 +16,7 @@
 MIB = 1024 * 1024
 # Share of the platform's limit for the age of keys; the rest is a margin for clock
 # drift between hosts.
-KEY_AGE_SHARE = 0.95
+KEY_AGE_FRACTION = 0.95
 
 
 class _Listen(CamelStruct, frozen=True):
@@ -54,7 +54,7 @@
         """Return the maximum age of the local copy of the keys, in seconds."""
         if not self.revoke_strict:
             return None
-        return self.revoke_ms / 1000 * KEY_AGE_SHARE
+        return self.revoke_ms / 1000 * KEY_AGE_FRACTION
 
 
 class _Platform(CamelStruct, frozen=True):
