--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -27,7 +27,7 @@
 from .claims import slot_of
 from .delegate_calls import call_delegate, failure_reason
 from .delegated_turn import DelegatedTurn
-from .notifier import RETRY_TIMEOUT, Notifier
+from .notifier import ATTEMPT_TIMEOUT, Notifier
 from .peer_health import PeerHealth
 from .peers import Peers
 from .ranking import SlotRanking
@@ -87,7 +87,7 @@
         self._delegates = delegates
         self._local = local
         self._ledger = ledger
-        self._notifier = Notifier(timeout=RETRY_TIMEOUT)
+        self._notifier = Notifier(timeout=ATTEMPT_TIMEOUT)
         self._numbers = itertools.count(1)
 
     async def open(self, start: TurnStart) -> OpenTurn | TurnRefusal:
--- a/sequoiaarch/fleet/loan_service.py
+++ b/sequoiaarch/fleet/loan_service.py
@@ -18,7 +18,7 @@
     SettleRequest,
 )
 from .claims import Claims, slot_of
-from .notifier import RETRY_TIMEOUT, Notifier
+from .notifier import ATTEMPT_TIMEOUT, Notifier
 from .peer_health import PeerHealth
 from .peers import Peers
 from .slot_claimer import SlotClaimer
@@ -114,7 +114,7 @@
         self._peer_health = peer_health
         self._numbers = itertools.count(1)
         self._lender_links: dict[LoanId, Link | None] = {}
-        self._notifier = Notifier(timeout=RETRY_TIMEOUT)
+        self._notifier = Notifier(timeout=ATTEMPT_TIMEOUT)
 
     async def borrow(self, terms: TurnTerms, *, least: int) -> Loan | None:
         """Return a loan of at least `least` tokens; None if no lender grants one."""
--- a/sequoiaarch/fleet/notifier.py
+++ b/sequoiaarch/fleet/notifier.py
@@ -13,7 +13,7 @@
 
 # Timeout of requests that are retried. Exceeds the silence limit of a link, so that
 # the next attempt uses a new connection. Seconds.
-RETRY_TIMEOUT = 2.0
+ATTEMPT_TIMEOUT = 2.0
 RETRY_INTERVAL = 0.1
 
 
--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -29,7 +29,7 @@
 # Seconds.
 PEER_TIMEOUT = 0.5
 PEER_SILENCE_LIMIT = 1.0
-REGISTER_RETRY = 0.5
+REGISTER_RETRY_INTERVAL = 0.5
 # How long registration waits for the first list of registrations. Seconds.
 FIRST_LIST_TIMEOUT = 1.0
 
@@ -133,7 +133,7 @@
             result = await keyed_log.append(PARTITION, [record], writer=first)
             if not isinstance(result, Failure):
                 return
-            await asyncio.sleep(REGISTER_RETRY)
+            await asyncio.sleep(REGISTER_RETRY_INTERVAL)
 
     async def unregister(self, keyed_log: KeyedLog, writer: str) -> None:
         """Remove this process's registration; a failure is only logged."""
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -35,7 +35,7 @@
 # slots. Seconds.
 FIRST_CLAIM_DELAY = 3.0
 CLAIM_INTERVAL = 2.0
-RETRY_SECONDS = 0.5
+RETRY_INTERVAL = 0.5
 # Stays below the store's limit of 256 KiB for a record. A process whose loans take
 # more keeps its claims when it stops, as after a crash. Bytes.
 MAX_CARRIED_BYTES = 192 * 1024
@@ -181,4 +181,4 @@
             result = await keyed_log.append(PARTITION, records, writer=writer)
             if not isinstance(result, Failure):
                 return
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL)
--- a/sequoiaarch/routing/follower.py
+++ b/sequoiaarch/routing/follower.py
@@ -17,7 +17,7 @@
 # Maximum time for which a read waits for changes. It is short, as a read on a dead
 # connection delays all changes until it ends. Seconds.
 WAIT_SECONDS = 2.0
-RETRY_SECONDS = 0.2
+RETRY_INTERVAL = 0.2
 
 
 def boottime_clock() -> float:
@@ -86,7 +86,7 @@
                 self._unavailable = True
                 log.warning("topic {} can't be read: {}", self._partition.topic, reason)
                 self._on_lost()
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL)
 
     async def _read_once(self) -> str | None:
         """Read once; return the reason if it failed."""
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -21,7 +21,7 @@
     slot_of,
 )
 from ...fleet.loan_service import ASK_TIMEOUT, LoanService
-from ...fleet.notifier import RETRY_TIMEOUT
+from ...fleet.notifier import ATTEMPT_TIMEOUT
 from ...fleet.peer_health import GONE_FAILURES, PeerHealth
 from ...fleet.peers import TOPIC as PEERS_TOPIC, Peers, PeerServer
 from ...fleet.slot_claimer import SlotClaimer
@@ -511,7 +511,7 @@
         turn = await self.open_on_loan(self.other, "turn-1", most=300)
         turn.record_usage(40)
         turn.close()
-        await asyncio.sleep(RETRY_TIMEOUT)
+        await asyncio.sleep(ATTEMPT_TIMEOUT)
         await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 40})
 
--- a/sequoiaarch/tests/fleet/notifier_tests.py
+++ b/sequoiaarch/tests/fleet/notifier_tests.py
@@ -8,7 +8,7 @@
 import zmq
 import zmq.asyncio
 
-from ...fleet.notifier import RETRY_TIMEOUT, Notifier
+from ...fleet.notifier import ATTEMPT_TIMEOUT, Notifier
 from ...fleet.peers import PEER_SILENCE_LIMIT
 from ...ids import OpeningId
 from ...wire.links import Link
@@ -41,7 +41,7 @@
 
         A timeout below the silence limit would retry on the dead connection for ever.
         """
-        notifier = Notifier(timeout=RETRY_TIMEOUT)
+        notifier = Notifier(timeout=ATTEMPT_TIMEOUT)
         before = self.link._socket
         request = CloseTurnRequest(opening=OpeningId("1"), handed=0)
         notifier.notify(self.link, request, retry_for=PEER_SILENCE_LIMIT)
--- a/sequoiaarch/tests/workspaces/access_tests.py
+++ b/sequoiaarch/tests/workspaces/access_tests.py
@@ -6,7 +6,7 @@
 
 from ...errors import ErrorKind, FailureError
 from ...ids import Workspace
-from ...workspaces.access import OUTAGE_RETRY, OUTDATED_RETRY, Access
+from ...workspaces.access import OUTAGE_RETRY_AFTER, OUTDATED_RETRY_AFTER, Access
 from ...workspaces.directory import Directory, WorkspaceEntry
 
 LIMIT = 4.0
@@ -59,9 +59,9 @@
     def test_retry_delay_during_outage(self) -> None:
         """Return a longer delay in an outage, so that callers keep some retries."""
         self.age = LIMIT + 1.0
-        self.assertEqual(self.retry_after(), OUTDATED_RETRY)
+        self.assertEqual(self.retry_after(), OUTDATED_RETRY_AFTER)
         self.access.reached = lambda: False
-        self.assertEqual(self.retry_after(), OUTAGE_RETRY)
+        self.assertEqual(self.retry_after(), OUTAGE_RETRY_AFTER)
 
     def test_key_is_revoked_while_request_waits(self) -> None:
         """Refuse to send a request whose key was revoked while it waited."""
--- a/sequoiaarch/workspaces/access.py
+++ b/sequoiaarch/workspaces/access.py
@@ -11,10 +11,10 @@
 from .directory import ANONYMOUS, Directory, RateLimit
 
 # Retry delay while the store is reachable: the next read updates the keys. Seconds.
-OUTDATED_RETRY = 0.1
+OUTDATED_RETRY_AFTER = 0.1
 # Retry delay during an outage of the store, long enough that callers do not use up
 # their retries before it ends. Seconds.
-OUTAGE_RETRY = 1.0
+OUTAGE_RETRY_AFTER = 1.0
 
 
 class Caller(msgspec.Struct, frozen=True, kw_only=True):
@@ -90,5 +90,5 @@
         age = self.age()
         if self.limit is not None and age > self.limit:
             reason = f"keys are known as of {age:.1f} s ago, over {self.limit:.1f} s"
-            wait = OUTDATED_RETRY if self.reached() else OUTAGE_RETRY
+            wait = OUTDATED_RETRY_AFTER if self.reached() else OUTAGE_RETRY_AFTER
             raise fail(ErrorKind.OUTDATED, reason, retry_after=wait)
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -18,7 +18,7 @@
 from .token_cache import TokenCache
 
 # Time after which a lost owner of a share has likely been replaced. Seconds.
-UNKNOWN_RETRY = 0.3
+UNKNOWN_RETRY_AFTER = 0.3
 
 
 class Refusal(msgspec.Struct, frozen=True, kw_only=True):
@@ -162,5 +162,5 @@
     """Combine the answers of all owners into a refusal with the shortest wait."""
     waits = [one.wait for one in answers if one.wait is not None]
     if not waits:
-        return Refusal(wait=UNKNOWN_RETRY, kept=False)
+        return Refusal(wait=UNKNOWN_RETRY_AFTER, kept=False)
     return Refusal(wait=min(waits))
