--- a/sequoiaarch/fleet/fleet.py
+++ b/sequoiaarch/fleet/fleet.py
@@ -75,7 +75,7 @@
         ledger: Ledger,
         split: BudgetSplit,
         health: TargetHealth,
-        limits: QuotaOptions,
+        quota_options: QuotaOptions,
     ) -> None:
         self._own = own
         self._writer = writer
@@ -110,13 +110,13 @@
             ledger=ledger,
         )
         self.reports = TargetReports(own=own, peers=peers, health=health)
-        self.host_lease = HostLease(lease=limits.lease, clock=boottime_clock)
+        self.host_lease = HostLease(lease=quota_options.lease, clock=boottime_clock)
         self._registrations = TopicFollower(
             log=keyed_log,
             topic=PEERS_TOPIC,
             replace=self._replace_peers,
             apply=self._apply_peer,
-            wait=limits.wait,
+            wait=quota_options.wait,
             on_read=self.host_lease.renew,
         )
         self._registration_check = RegistrationCheck(
@@ -128,8 +128,8 @@
             hosts=peers.hosts_by_centre, version=lambda: peers.hosts_version
         )
         self.limiter = Limiter(
-            bounds=limits.bounds,
-            limits=limits.of,
+            bounds=quota_options.bounds,
+            limits=quota_options.of,
             owns=self._owns_share,
             term=lambda: self.host_lease.term,
             since=lambda: self.host_lease.since,
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -137,7 +137,7 @@
                 ledger=self.ledger,
                 split=split,
                 health=health,
-                limits=QuotaOptions(
+                quota_options=QuotaOptions(
                     of=access.limit_of,
                     bounds=bounds,
                     lease=options.key_age_limit or DEFAULT_LEASE,
@@ -315,8 +315,8 @@
             "target_connections_opened": float(self.dispatcher.pool.opened),
         }
         if self._fleet is not None:
-            state["loans_lent"] = float(self._fleet.loans.lent)
-            state["loans_refused"] = float(self._fleet.loans.refused)
+            state["loans_lent"] = float(self._fleet.loans.loans_lent)
+            state["loans_refused"] = float(self._fleet.loans.loans_refused)
             self._metrics.set_shares(self._fleet.limiter.free())
         for name, value in state.items():
             self._metrics.set_state(name, value)
--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -56,8 +56,8 @@
         self._accounts: dict[ProgramId, _Account] = {}
         # Time at which each loan was settled, oldest first.
         self._settled: dict[LoanId, float] = {}
-        self.lent = 0
-        self.refused = 0
+        self.loans_lent = 0
+        self.loans_refused = 0
 
     def lend(self, loan: LoanId, terms: TurnTerms, rank: int, least: int) -> int:
         """Return the tokens of a loan, 0 if fewer than `least` are available.
@@ -67,17 +67,17 @@
         # A request that arrives after its settlement would open a loan that nobody
         # closes. Its borrower has gone, so the refusal harms no one.
         if loan in self._settled:
-            self.refused += 1
+            self.loans_refused += 1
             return 0
         account = self._account(terms)
         before = account.open.get(loan, 0)
         available = self.available(terms.program, terms.budget, rank) + before
         amount = min(terms.most, available)
         if amount <= before or amount < least:
-            self.refused += 1
+            self.loans_refused += 1
             return before
         account.open[loan] = amount
-        self.lent += 1
+        self.loans_lent += 1
         return amount
 
     def available(self, program: ProgramId, budget: int, rank: int) -> int:
