--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -184,7 +184,7 @@
             self.ledger.run_trim(),
             self.ledger.run_release(),
             sweeper.run(),
-            self.dispatcher.pool.sweep(),
+            self.dispatcher.pool.run_close_expired(),
             self.dispatcher.load.watch(),
         ]
         if events is not None:
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -152,7 +152,7 @@
         """Count the request and write its log line."""
         now = asyncio.get_running_loop().time()
         route = request.route.name if request.route else UNROUTED
-        self._metrics.count_answer(route, reply.status, now - request.started)
+        self._metrics.count_response(route, reply.status, now - request.started)
         if self._events is None:
             return
         info = request.info
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -17,7 +17,7 @@
 IDLE_MARGIN = 1.0
 # Idle limit for targets that announce none, in seconds.
 DEFAULT_IDLE_LIMIT = 4.0
-SWEEP_INTERVAL = 1.0
+CLOSE_EXPIRED_INTERVAL = 1.0
 
 
 class ConnectionPool:
@@ -50,8 +50,8 @@
         """Close all idle connections."""
         self._idle.close()
 
-    async def sweep(self) -> None:
+    async def run_close_expired(self) -> None:
         """Close connections past their idle limit, periodically."""
         while True:
-            await asyncio.sleep(SWEEP_INTERVAL)
+            await asyncio.sleep(CLOSE_EXPIRED_INTERVAL)
             self._idle.close_expired()
--- a/sequoiaarch/observe/request_metrics.py
+++ b/sequoiaarch/observe/request_metrics.py
@@ -34,7 +34,7 @@
         )
         self._commit = self._histogram("commit_seconds", "Time of a turn's commit.")
 
-    def count_answer(self, route: str, status: int, seconds: float) -> None:
+    def count_response(self, route: str, status: int, seconds: float) -> None:
         """Count a response and observe its duration."""
         self._answers.inc({"route": route, "status": str(status)})
         self._duration.observe({"route": route}, seconds)
