--- a/sequoiaarch/http1/server_connection.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -224,8 +224,8 @@
         message = await self._read_request()
         if message is None:
             return False
-        reply = ResponseWriter(connection=self, http=self._http)
-        self._handling = asyncio.create_task(self._server.handle(message, reply))
+        writer = ResponseWriter(connection=self, http=self._http)
+        self._handling = asyncio.create_task(self._server.handle(message, writer))
         try:
             await self._handling
         except asyncio.CancelledError:
@@ -236,7 +236,7 @@
             self._handling = None
             self._request_open = False
             self._release_body()
-        if not reply.ended:
+        if not writer.ended:
             self.abort()
             return False
         return self._http.our_state is h11.DONE and not self.closing
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -29,7 +29,7 @@
     """Response of a target; `body_started` is set once a part was received."""
 
     target: TargetEntry
-    link: ClientConnection
+    connection: ClientConnection
     head: ResponseHead
     info: ResponseInfo
     body_started: bool = False
@@ -94,10 +94,10 @@
         if complete:
             load.record_result(instance, ok=response.head.status < SERVER_ERROR)
             self._dispatcher.pool.release(
-                response.target, response.link, response.info.idle_limit
+                response.target, response.connection, response.info.idle_limit
             )
         else:
-            response.link.abort()
+            response.connection.abort()
 
     def may_repeat(self, error: ExchangeError) -> bool:
         """Take from the retry budget after a break; return whether to retry."""
@@ -123,7 +123,7 @@
         instance = response.target.incarnation
         if response.body_started and self._route.event_pause:
             load.expect_within(instance, self, next_event_due(self._route.event_pause))
-        part = await response.link.read_body_part()
+        part = await response.connection.read_body_part()
         response.body_started = True
         load.data_received(instance, self)
         return part
@@ -146,27 +146,27 @@
         load = self._dispatcher.load
         load.request_started(target.incarnation)
         response: TargetResponse | None = None
-        link: ClientConnection | None = None
+        connection: ClientConnection | None = None
         token: float | None = None
         try:
-            link = await self._dispatcher.pool.acquire(target)
+            connection = await self._dispatcher.pool.acquire(target)
             await self._authorise_send()
             token = self._request_token.spend()
-            await link.send(self._outgoing_request(target))
+            await connection.send(self._outgoing_request(target))
             self._send_count += 1
             self._dispatcher.request_sent(target, self._route, self._info, self)
-            response = await self._await_head(target, link)
+            response = await self._await_head(target, connection)
             if response is None:
                 self._request_token.restore(token)
         except ExchangeError as error:
             load.record_result(target.incarnation, ok=False)
-            self._abort(link)
+            self._abort(connection)
             if not error.sent:
                 self._request_token.restore(token)
             if error.sent and not self.may_repeat(error):
                 raise fail(ErrorKind.INTERRUPTED, str(error)) from error
         except BaseException:
-            self._abort(link)
+            self._abort(connection)
             raise
         finally:
             if response is None:
@@ -174,22 +174,22 @@
                 load.request_ended(target.incarnation)
         return response
 
-    def _abort(self, link: ClientConnection | None) -> None:
-        if link is not None:
-            link.abort()
+    def _abort(self, connection: ClientConnection | None) -> None:
+        if connection is not None:
+            connection.abort()
 
     async def _await_head(
-        self, target: TargetEntry, link: ClientConnection
+        self, target: TargetEntry, connection: ClientConnection
     ) -> TargetResponse | None:
         while True:
-            head = await link.read_head()
+            head = await connection.read_head()
             info = self._dispatcher.codec.read_response(head)
             if info.attempt is None or info.attempt == self._info.attempt:
                 break
             self.steps.append("skipped response of another attempt")
-            await link.skip_response()
+            await connection.skip_response()
         if info.not_run:
-            await self._skip_response(target, link, head, info)
+            await self._finish_not_run(target, connection, head, info)
             return None
         if info.coded:
             # No content encoding was requested.
@@ -199,21 +199,23 @@
                 sent=True,
             )
         self.steps.append(f"{target.instance}:{head.status}")
-        return TargetResponse(target=target, link=link, head=head, info=info)
+        return TargetResponse(
+            target=target, connection=connection, head=head, info=info
+        )
 
-    async def _skip_response(
+    async def _finish_not_run(
         self,
         target: TargetEntry,
-        link: ClientConnection,
+        connection: ClientConnection,
         head: ResponseHead,
         info: ResponseInfo,
     ) -> None:
         """Read the rest of a response that reports the request as not run."""
         self._send_count -= 1
         self.steps.append(f"{target.instance}:not run {head.status}")
-        while await link.read_body_part() is not None:
+        while await connection.read_body_part() is not None:
             pass
-        self._dispatcher.pool.release(target, link, info.idle_limit)
+        self._dispatcher.pool.release(target, connection, info.idle_limit)
 
     def _outgoing_request(self, target: TargetEntry) -> RequestMessage:
         remaining = self._deadline - asyncio.get_running_loop().time()
@@ -244,7 +246,9 @@
 
     def _urgency(self) -> int | None:
         """Return the urgency by the priority of the workspace, or else of the route."""
-        rank = self._caller.priority
-        if rank is None:
-            rank = self._route.priority
-        return self._dispatcher.urgency(self._route, self._info, rank, self.budget_used)
+        priority = self._caller.priority
+        if priority is None:
+            priority = self._route.priority
+        return self._dispatcher.urgency(
+            self._route, self._info, priority, self.budget_used
+        )
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -277,13 +277,13 @@
         await self.ledger.close()
 
     async def _handle_ready(
-        self, message: RequestMessage, reply: ResponseWriter
+        self, message: RequestMessage, writer: ResponseWriter
     ) -> None:
         if message.target.split(b"?")[0] == METRICS_PATH:
             headers = [(b"Content-Type", b"text/plain")]
-            await reply.send_response(200, headers, self.metrics_text())
+            await writer.send_response(200, headers, self.metrics_text())
             return
-        await reply.send_response(200 if self.ready else 503, [], b"")
+        await writer.send_response(200 if self.ready else 503, [], b"")
 
     def metrics_text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -74,9 +74,9 @@
         ]
         if not entries:
             return None, ""
-        choices = [self._engine_choice(entry) for entry in entries]
+        candidates = [self._engine_candidate(entry) for entry in entries]
         policy = self._engine_placement if route.sticky else self._service_placement
-        instance, reason = policy.choose(_prompt_shape(info), choices)
+        instance, reason = policy.choose(_prompt_shape(info), candidates)
         chosen = next(entry for entry in entries if entry.incarnation == instance)
         return chosen, reason
 
@@ -135,13 +135,13 @@
         return settings.engine.event_tokens
 
     def urgency(
-        self, route: Route, info: RequestInfo, rank: int, budget_used: float
+        self, route: Route, info: RequestInfo, priority: int, budget_used: float
     ) -> int | None:
         """Return the urgency of a request to an engine; None for other services."""
         if not route.sticky:
             return None
         progress = ProgramProgress(
-            rank=rank, left=info.program_deadline, spent=budget_used
+            rank=priority, left=info.program_deadline, spent=budget_used
         )
         return self._urgency.of(progress)
 
@@ -151,7 +151,7 @@
         weights = [share.weight for share in route.services]
         return self._rng.choices(route.services, weights)[0].service
 
-    def _engine_choice(self, entry: TargetEntry) -> EngineCandidate:
+    def _engine_candidate(self, entry: TargetEntry) -> EngineCandidate:
         return EngineCandidate(
             instance=entry.incarnation,
             slots=max(1, entry.slots),
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -46,7 +46,7 @@
         info: RequestInfo,
         caller: Caller,
         route: Route,
-        reply: ResponseWriter,
+        writer: ResponseWriter,
         deadline: float,
         dispatcher: Dispatcher,
         ledger: Ledger,
@@ -62,7 +62,7 @@
         self._info = info
         self._caller = caller
         self._route = route
-        self._reply = reply
+        self._writer = writer
         self._dispatcher = dispatcher
         self._ledger = ledger
         self._turns = turns
@@ -156,7 +156,7 @@
         self._dispatcher.retries.request_started()
         while True:
             try:
-                async with asyncio.timeout(self._retry_timeout()):
+                async with asyncio.timeout(self._attempt_timeout()):
                     response, body = await self._whole_response()
             except ExchangeError as error:
                 self._check_retry(error)
@@ -165,12 +165,12 @@
                 self._check_retry(ExchangeError(ExchangeFault.TIMEOUT, sent=True))
                 continue
             head = response.head
-            await self._reply.send_response(
+            await self._writer.send_response(
                 head.status, response.info.headers, body, head.reason
             )
             return
 
-    def _retry_timeout(self) -> float | None:
+    def _attempt_timeout(self) -> float | None:
         """Return the timeout of an attempt, in seconds, or None if it is the last.
 
         Covers idempotent requests whose response is lost while the connection
@@ -195,7 +195,7 @@
 
     async def _read_body(self, response: TargetResponse) -> bytes:
         body = bytearray()
-        while (part := await response.link.read_body_part()) is not None:
+        while (part := await response.connection.read_body_part()) is not None:
             body += part
             if len(body) > MAX_RESPONSE_BYTES:
                 raise fail(ErrorKind.TARGET_FAILED, "the response is too large")
@@ -216,19 +216,21 @@
                 complete = True
                 head = response.head
                 headers = response.info.headers
-                await self._reply.send_response(head.status, headers, body, head.reason)
+                await self._writer.send_response(
+                    head.status, headers, body, head.reason
+                )
                 return
-            complete = await self._relay(response, output)
+            complete = await self._forward_events(response, output)
         except ExchangeError as error:
             self._attempts.response_broken(response)
             self.steps.append(f"broken:{error.fault.name}")
-            if not self._reply.started:
+            if not self._writer.started:
                 raise fail(ErrorKind.INTERRUPTED, str(error)) from error
-            self._reply.abort()
+            self._writer.abort()
         finally:
             self._attempts.close(response, complete=complete)
 
-    async def _relay(
+    async def _forward_events(
         self, response: TargetResponse, output: _TurnOutput | None
     ) -> bool:
         """Relay a stream and return True; raises LinkError or FailureError."""
@@ -245,29 +247,29 @@
                 await self._confirm_budget(output)
             if self._route.retained:
                 await self._commit(output)
-        if not self._reply.started:
-            await self._start_reply(response)
-        await self._reply.end()
+        if not self._writer.started:
+            await self._start_response(response)
+        await self._writer.end()
         return True
 
     async def _forward_event(
         self, response: TargetResponse, output: _TurnOutput | None, event: bytes
     ) -> None:
-        if not self._reply.started:
+        if not self._writer.started:
             self._attempts.first_event_received(response)
             now = asyncio.get_running_loop().time()
             self._metrics.observe_first_event(self._route.name, now - self._started)
         if output is not None:
-            if not self._reply.started:
+            if not self._writer.started:
                 await self._confirm_budget(output)
             tokens = self._dispatcher.event_tokens(response.target.service)
             if not await output.spend(tokens):
                 self.steps.append("budget: the turn's reserved tokens are used up")
                 raise fail(ErrorKind.INTERRUPTED, "the budget is used up")
             output.produced.append(event_data(event) + b"\n")
-        if not self._reply.started:
-            await self._start_reply(response)
-        await self._reply.send_part(event)
+        if not self._writer.started:
+            await self._start_response(response)
+        await self._writer.send_part(event)
 
     async def _confirm_budget(self, output: _TurnOutput) -> None:
         """Wait until tokens are durably reserved, before the first event is sent."""
@@ -283,9 +285,9 @@
         self._metrics.observe_commit(taken)
         self.steps.append(f"committed in {taken * 1000:.1f} ms")
 
-    async def _start_reply(self, response: TargetResponse) -> None:
+    async def _start_response(self, response: TargetResponse) -> None:
         head = response.head
-        await self._reply.start(
+        await self._writer.start(
             ResponseHead(
                 status=head.status, reason=head.reason, headers=response.info.headers
             )
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -66,22 +66,22 @@
         self._metrics = metrics
         self._events = events
 
-    async def handle(self, message: RequestMessage, reply: ResponseWriter) -> None:
+    async def handle(self, message: RequestMessage, writer: ResponseWriter) -> None:
         """Handle one request, and log it however it ends."""
         request = _RequestState(started=asyncio.get_running_loop().time())
         try:
-            await self._serve(message, request, reply)
+            await self._serve(message, request, writer)
         except FailureError as error:
-            await self._send_failure(request, reply, error.failure)
+            await self._send_failure(request, writer, error.failure)
         except (ClientGone, asyncio.CancelledError):
             request.outcome = CALLER_LEFT
             raise
         except Exception as error:
             log.exception("unhandled exception in a request")
             failure = Failure(kind=ErrorKind.INTERNAL, reason=repr(error))
-            await self._send_failure(request, reply, failure)
+            await self._send_failure(request, writer, failure)
         finally:
-            self._log_request(request, reply)
+            self._log_request(request, writer)
 
     def _read(self, message: RequestMessage) -> RequestInfo:
         try:
@@ -90,7 +90,7 @@
             raise fail(ErrorKind.MALFORMED, str(error)) from None
 
     async def _serve(
-        self, message: RequestMessage, request: _RequestState, reply: ResponseWriter
+        self, message: RequestMessage, request: _RequestState, writer: ResponseWriter
     ) -> None:
         info = request.info = self._read(message)
         routes = request.routes = self._dispatcher.routes
@@ -110,7 +110,7 @@
             info=info,
             caller=caller,
             route=route,
-            reply=reply,
+            writer=writer,
             deadline=deadline,
             dispatcher=self._dispatcher,
             ledger=self._ledger,
@@ -126,13 +126,13 @@
             raise fail(ErrorKind.DEADLINE_EXCEEDED, reason) from None
 
     async def _send_failure(
-        self, request: _RequestState, reply: ResponseWriter, failure: Failure
+        self, request: _RequestState, writer: ResponseWriter, failure: Failure
     ) -> None:
         request.outcome = failure.kind.value
         request.reason = failure.reason
         self._metrics.count_failure(failure.kind.value)
-        if reply.started:
-            reply.abort()
+        if writer.started:
+            writer.abort()
             return
         body = msgspec.json.encode(
             {
@@ -144,15 +144,15 @@
         attempt = request.info.attempt if request.info else AttemptId("")
         headers = self._dispatcher.codec.failure_headers(attempt, failure.wait)
         try:
-            await reply.send_response(failure.answer.status, headers, body)
+            await writer.send_response(failure.answer.status, headers, body)
         except ClientGone:
             request.outcome = CALLER_LEFT
 
-    def _log_request(self, request: _RequestState, reply: ResponseWriter) -> None:
+    def _log_request(self, request: _RequestState, writer: ResponseWriter) -> None:
         """Count the request and write its log line."""
         now = asyncio.get_running_loop().time()
         route = request.route.name if request.route else UNROUTED
-        self._metrics.count_response(route, reply.status, now - request.started)
+        self._metrics.count_response(route, writer.status, now - request.started)
         if self._events is None:
             return
         info = request.info
@@ -168,7 +168,7 @@
             config_age=round(self._dispatcher.access.age(), 3),
             targets_age=round(self._dispatcher.targets_age(), 3),
             store=self._dispatcher.store_path().value,
-            status=reply.status,
+            status=writer.status,
             outcome=request.outcome,
             reason=request.reason,
             milliseconds=round((now - request.started) * 1000, 1),
--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -139,11 +139,11 @@
     def first_event_received(self, instance: InstanceId, request: object) -> None:
         """Update the wait estimates by the first event of a response."""
         load = self._loads[instance]
-        started_at = load.prefilled_at.pop(request, None)
-        if started_at is None:
+        prefilled_at = load.prefilled_at.pop(request, None)
+        if prefilled_at is None:
             return
         now = asyncio.get_running_loop().time()
-        latency = max(0.0, now - started_at)
+        latency = max(0.0, now - prefilled_at)
         self._idle_latency = min(self._idle_latency, latency)
         wait = latency - self._idle_latency
         self._recent_waits.append((now, wait))
@@ -164,10 +164,8 @@
         now = asyncio.get_running_loop().time()
         if ok:
             self._health.response_received(instance, now)
-        report_due = (
-            self._health.request_succeeded if ok else self._health.request_failed
-        )
-        if report_due(instance, now):
+        record = self._health.request_succeeded if ok else self._health.request_failed
+        if record(instance, now):
             self.report(instance, ok)
 
     def failure_rate(self, instance: InstanceId) -> float:
--- a/sequoiaarch/ingress/pool.py
+++ b/sequoiaarch/ingress/pool.py
@@ -29,18 +29,21 @@
 
     async def acquire(self, target: TargetEntry) -> ClientConnection:
         """Return an idle or new connection; raises ExchangeError."""
-        link = self._idle.acquire(target.incarnation)
-        if link is not None:
-            return link
+        connection = self._idle.acquire(target.incarnation)
+        if connection is not None:
+            return connection
         self.opened += 1
         return await connect(target.address, timeout=CONNECT_TIMEOUT)
 
     def release(
-        self, target: TargetEntry, link: ClientConnection, idle_limit: float | None
+        self,
+        target: TargetEntry,
+        connection: ClientConnection,
+        idle_limit: float | None,
     ) -> None:
         """Return a connection to the pool after a complete exchange, or close it."""
         limit = DEFAULT_IDLE_LIMIT if idle_limit is None else idle_limit - IDLE_MARGIN
-        self._idle.release(target.incarnation, link, limit)
+        self._idle.release(target.incarnation, connection, limit)
 
     def forget(self, instance: InstanceId) -> None:
         """Close the idle connections to a target that has left or restarted."""
