--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -86,7 +86,7 @@
         # continue in this process.
         self._end_reported = False
         self._fallback: LocalTurn | None = None
-        self._announced: asyncio.Future[Offset] | None = None
+        self._index_write: asyncio.Future[Offset] | None = None
 
     @property
     def history(self) -> History | None:
@@ -131,7 +131,7 @@
 
     def write_index(self) -> None:
         """Start writing the turn's program to the index."""
-        self._announced = self._turns.ledger.write_index(self._start.terms)
+        self._index_write = self._turns.ledger.write_index(self._start.terms)
 
     def covers(self, tokens: int) -> bool:
         """Return whether the grant covers this many more tokens."""
@@ -218,8 +218,8 @@
             await self._fallback.commit_content(content)
         else:
             await self._commit_at_delegate(content)
-        if self._announced is not None:
-            await self._announced
+        if self._index_write is not None:
+            await self._index_write
 
     def close(self) -> None:
         """Return unused tokens; idempotent."""
--- a/sequoiaarch/fleet/peer_health.py
+++ b/sequoiaarch/fleet/peer_health.py
@@ -24,13 +24,13 @@
     """Failure backoff of each peer, for all requests to it."""
 
     def __init__(self) -> None:
-        self._until: dict[HostName, float] = {}
-        self._pause: dict[HostName, float] = {}
+        self._backoff_until: dict[HostName, float] = {}
+        self._backoff: dict[HostName, float] = {}
         self._failures: Counter[HostName] = Counter()
 
     def usable(self, host: HostName) -> bool:
         """Return whether a peer may be sent requests now."""
-        return self._until.get(host, 0.0) <= asyncio.get_running_loop().time()
+        return self._backoff_until.get(host, 0.0) <= asyncio.get_running_loop().time()
 
     def presumed_gone(self, host: HostName) -> bool:
         """Return whether a peer failed so often in a row that it may be gone."""
@@ -40,13 +40,13 @@
         """Start or double the backoff of a peer, unless one is running."""
         if not self.usable(host):
             return
-        pause = min(2 * self._pause.get(host, INITIAL_BACKOFF / 2), MAX_BACKOFF)
-        self._pause[host] = pause
+        backoff = min(2 * self._backoff.get(host, INITIAL_BACKOFF / 2), MAX_BACKOFF)
+        self._backoff[host] = backoff
         self._failures[host] += 1
-        self._until[host] = asyncio.get_running_loop().time() + pause
-        log.info("peer {} is not sent requests for {} s: {}", host, pause, reason)
+        self._backoff_until[host] = asyncio.get_running_loop().time() + backoff
+        log.info("peer {} is not sent requests for {} s: {}", host, backoff, reason)
 
     def request_succeeded(self, host: HostName) -> None:
         """Reset the backoff of a peer that answered."""
-        self._pause.pop(host, None)
+        self._backoff.pop(host, None)
         self._failures.pop(host, None)
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -411,7 +411,7 @@
         left = [one for one in self.processes if one is not self.lender]
         for process in left:
             for _ in range(GONE_FAILURES):
-                process.peer_health._until.clear()
+                process.peer_health._backoff_until.clear()
                 process.peer_health.request_failed(self.lender.name, "no reply")
         await self.wait_until(lambda: any(one.rank == 1 for one in left))
         await self.wait_until(
@@ -429,7 +429,7 @@
         clock = mock.Mock(return_value=0.0)
         self.other.claimer.expiry = ClaimExpiry(clock=clock)
         for _ in range(GONE_FAILURES):
-            self.other.peer_health._until.clear()
+            self.other.peer_health._backoff_until.clear()
             self.other.peer_health.request_failed(self.lender.name, "no reply")
         self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
         clock.return_value = 100 * LENDING_LEASE
--- a/sequoiaarch/tests/fleet/peers_tests.py
+++ b/sequoiaarch/tests/fleet/peers_tests.py
@@ -23,7 +23,7 @@
 FAILED = Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="denied too")
 
 
-class _Caller:
+class _FakeStoreClient:
     """Store caller of a peer, with switchable failures."""
 
     def __init__(self, name: str) -> None:
@@ -69,9 +69,9 @@
             close()
         self.context.destroy(linger=0)
 
-    async def add(self, name: str, data_centre: DataCentre) -> _Caller:
+    async def add(self, name: str, data_centre: DataCentre) -> _FakeStoreClient:
         """Start a peer and register it."""
-        caller = _Caller(name)
+        caller = _FakeStoreClient(name)
         server = PeerServer(
             context=self.context,
             address="127.0.0.1:*",
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -39,7 +39,7 @@
     return body
 
 
-class ClientLinkTests(unittest.IsolatedAsyncioTestCase):
+class ClientConnectionTests(unittest.IsolatedAsyncioTestCase):
     """Exchange requests with a target that misbehaves."""
 
     async def serve(self, *parts: bytes, reset: bool = False) -> ClientConnection:
--- a/sequoiaarch/tests/workspaces/simulation.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -242,8 +242,8 @@
         """Return the maximum number of requests that ran in any window."""
         return max(
             (
-                bisect_left(self.ran, begin + BOUNDS.window) - place
-                for place, begin in enumerate(self.ran)
+                bisect_left(self.ran, begin + BOUNDS.window) - index
+                for index, begin in enumerate(self.ran)
             ),
             default=0,
         )
--- a/sequoiaarch/workspaces/shares.py
+++ b/sequoiaarch/workspaces/shares.py
@@ -43,15 +43,15 @@
         centres = sorted(centre for centre in hosts if hosts[centre])
         if not centres:
             return ()
-        first = _digest(workspace)
+        first = _score(workspace)
         found = []
         for share in range(SHARES):
             centre = centres[(first + share) % len(centres)]
             name = f"{workspace}/{share}"
-            ranked = max(hosts[centre], key=lambda host: _digest(f"{name}/{host}"))
-            found.append(ranked)
+            owner = max(hosts[centre], key=lambda host: _score(f"{name}/{host}"))
+            found.append(owner)
         return tuple(found)
 
 
-def _digest(name: str) -> int:
+def _score(name: str) -> int:
     return xxhash.xxh32_intdigest(name.encode())
