--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -79,7 +79,7 @@
 
     A lender keeps its rank even if it is dead, frozen or partitioned; its successor
     gets the next rank with a smaller part of the budget. Several processes can
-    therefore lend to one program without handing out the same tokens. Claims are
+    therefore lend to one program without lending the same tokens. Claims are
     appended, so a stale view never shows a lender at a rank that is too low.
     """
 
--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -175,7 +175,7 @@
         """Reserve the rest of the turn in this process, as its delegate is lost.
 
         The grant of the old delegate may leave no room in a small budget until it is
-        returned or written off. The stream waits for that instead of being cut.
+        released or written off. The stream waits for that instead of being cut.
         """
         self._report_end()
         terms = self._start.terms
@@ -222,7 +222,7 @@
             await self._index_write
 
     def close(self) -> None:
-        """Return unused tokens; idempotent."""
+        """Release unused tokens; idempotent."""
         self._ended = True
         if self._fallback is not None:
             self._fallback.close()
--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -38,8 +38,8 @@
 class Attempts:
     """Send one request and track its attempts, including retries.
 
-    `body` is the body to send and `budget_used` the share of the program's token
-    budget that is used. `steps` lists the routing decisions for the request log.
+    `body` is the body to send and `budget_used` the fraction of the program's
+    token budget that is used. `steps` lists the routing decisions for the request log.
     """
 
     def __init__(
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -57,16 +57,16 @@
 # Seconds of the stop timeout left to write queued records and close.
 STOP_RESERVE = 1.0
 WRITER_BYTES = 6
-# Share of the memory for the bodies of open requests.
+# Fraction of the memory for the bodies of open requests.
 BODY_MEMORY_FRACTION = 0.15
-# Share of the memory for the cache of committed turns.
+# Fraction of the memory for the cache of committed turns.
 TURN_MEMORY_FRACTION = 0.1
-# Share of the file descriptors for connections of callers; targets, store and peers
-# need the rest.
+# Fraction of the file descriptors for connections of callers; targets, store and
+# peers need the rest.
 CALLER_CONNECTIONS_FRACTION = 0.6
 METRICS_PATH = b"/metrics"
-# Seconds for which a process without contact to its peers keeps its shares of rate
-# limits, where keys have no age limit.
+# Seconds for which a process that can't read the registrations still owns its shares
+# of rate limits, where keys have no age limit.
 DEFAULT_LEASE = 10.0
 
 
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -25,7 +25,8 @@
 # Seconds after which to retry while the store is unreachable, directly and through
 # peers. With a shorter delay callers would use up their retries during the outage.
 STORE_RETRY_AFTER = 1.0
-# Seconds; another process returns unused tokens of a budget within a second.
+# Seconds; shorter than the `RELEASE_TIMEOUT` of the ledger, within which another
+# process releases unused tokens of a budget.
 HELD_RETRY_AFTER = 0.5
 # Seconds after its deadline in which a turn can still report its end.
 TURN_LIFETIME_MARGIN = 2.0
@@ -233,7 +234,7 @@
     async def _forward_events(
         self, response: TargetResponse, output: _TurnOutput | None
     ) -> bool:
-        """Relay a stream and return True; raises LinkError or FailureError."""
+        """Forward a stream and return True; raises ExchangeError or FailureError."""
         if output is not None and self._route.retained:
             output.turn.write_index()
         splitter = EventSplitter()
--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -56,7 +56,7 @@
 
     def __init__(self, *, health: TargetHealth) -> None:
         self._health = health
-        # Called with a target and whether it works, when peers should be told.
+        # Called with a target and whether it works, to report this to the peers.
         self.report: Callable[[InstanceId, bool], None] = lambda instance, ok: None
         self._loads: dict[InstanceId, _TargetLoad] = defaultdict(_TargetLoad)
         self._idle_latency = INITIAL_IDLE_LATENCY
@@ -169,7 +169,7 @@
             self.report(instance, ok)
 
     def failure_rate(self, instance: InstanceId) -> float:
-        """Return the share of requests that are expected to fail at a target."""
+        """Return the fraction of requests that are expected to fail at a target."""
         return self._health.failure_rate(instance, asyncio.get_running_loop().time())
 
     def forget(self, instance: InstanceId) -> None:
--- a/sequoiaarch/ledger/account.py
+++ b/sequoiaarch/ledger/account.py
@@ -15,10 +15,10 @@
 class TurnAllocation:
     """Track the tokens of a program's budget that are set aside for an open turn.
 
-    `remaining` is the most that the turn may still use, `reserved` the part of it that
-    this process requested from the log, `confirmed` the part that the log is known to
-    have granted. `superseded` is set once the caller has begun a later turn of the same
-    session.
+    `remaining` is the maximum that the turn may still use, `reserved` the part of it
+    that this process requested from the log, `confirmed` the part that the log is known
+    to have granted. `superseded` is set once the caller has begun a later turn of the
+    same session.
     """
 
     remaining: int
@@ -44,7 +44,7 @@
     `granted` is the confirmed grant; `requested` is the grant named by the newest
     record, which may differ until that record is acknowledged. `published` is the
     demand of open turns last written for other processes, at `published_at` on the
-    loop's clock. `ceiling` is the most that this process can get beside the other
+    loop's clock. `ceiling` is the maximum that this process can get beside the other
     grants, as of its newest grant in the log; None if unknown.
     """
 
@@ -75,7 +75,7 @@
 
     @property
     def wanted(self) -> int:
-        """Return the tokens used so far and the most that open turns may still use."""
+        """Return the tokens used so far and the maximum that open turns may use."""
         return self.used + sum(allocation.wanted for allocation in self.open)
 
     @property
--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -19,8 +19,8 @@
 
 # Budgets that hold fewer turns of maximum size than this are granted in steps.
 SMALL_BUDGET_TURNS = 4
-# Up to this share of the budget a turn may start before its grant is known. Beyond it
-# the turn waits for the log, so that a refused turn has never run.
+# Up to this fraction of the budget a turn may start before its grant is known. Beyond
+# it the turn waits for the log, so that a refused turn has never run.
 EARLY_START_FRACTION = 0.5
 # Idle time after which a program's unused grant is released, longer than the usual
 # pause between its turns. Seconds.
--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -62,7 +62,7 @@
     def lend(self, loan: LoanId, terms: TurnTerms, rank: int, least: int) -> int:
         """Return the tokens of a loan, 0 if fewer than `least` are available.
 
-        A repeated request for the same loan raises it to what the turn may need.
+        A repeated request for the same loan increases it to what the turn may need.
         """
         # A request that arrives after its settlement would open a loan that nobody
         # closes. Its borrower has gone, so the refusal harms no one.
--- a/sequoiaarch/ledger/records.py
+++ b/sequoiaarch/ledger/records.py
@@ -31,11 +31,11 @@
 ):
     """Grant of a part of a program's budget to one writer.
 
-    `tokens` is the most that the writer's turns of the program may use in total, `used`
-    what they had used when the record was written, and `limit` the bound on the sum of
-    all grants of the program, the budget if unset. `wanted` is the total that the
-    writer's open turns may reach. It grants nothing, but other writers leave that much
-    free while the record is recent, so that running turns are not cut off.
+    `tokens` is the maximum that the writer's turns of the program may use in total,
+    `used` what they had used when the record was written, and `limit` the bound on the
+    sum of all grants of the program, the budget if unset. `wanted` is the total that
+    the writer's open turns may reach. It grants nothing, but other writers leave that
+    much free while the record is recent, so that running turns are not cut off.
     """
 
     program: ProgramId
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -9,9 +9,9 @@
 from .account import Account, TurnAllocation
 from .terms import BudgetVerdict, TurnTerms
 
-# Share of a turn's maximum that is reserved at its start, and again at each extension,
-# when the budget is scarce. Turns use a quarter of their maximum on average, so most
-# need no extension.
+# Fraction of a turn's maximum that is reserved at its start, and again at each
+# extension, when the budget is scarce. Turns use a quarter of their maximum on average,
+# so most need no extension.
 RESERVED_FRACTION = 1 / 3
 # Interval of the checks for an unavailable store while waiting for a grant. Seconds.
 STORE_CHECK_INTERVAL = 0.1
--- a/sequoiaarch/ledger/split.py
+++ b/sequoiaarch/ledger/split.py
@@ -6,11 +6,11 @@
 
 from .terms import TurnTerms
 
-# Share of a budget that is kept for lenders, so that turns can go on while the log is
-# unavailable. The part of a lost lender counts as spent for minutes, so a larger share
-# would refuse programs after a crash.
+# Fraction of a budget that is reserved for lenders, so that turns can go on while the
+# log is unavailable. The part of a lost lender counts as spent for minutes, so a larger
+# fraction would refuse programs after a crash.
 LENDABLE_FRACTION = 0.25
-# Each further lender of a program gets this share of the part of the one before. The
+# Each further lender of a program gets this fraction of the part of the one before. The
 # parts are disjoint, so a new lender needs nothing from earlier ones.
 NEXT_LENDER_FRACTION = 0.25
 
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -30,7 +30,7 @@
 ROUND_SECONDS = 150.0
 # Time beyond the retention in which a resumed program writes its next record. Seconds.
 EXPIRY_MARGIN = 30.0
-# Delay of the first round, until the other processes are known: the share of this
+# Delay of the first round, until the other processes are known: the sample of this
 # process depends on their number. Seconds.
 START_DELAY = 30.0
 MAX_DELETES = 500
--- a/sequoiaarch/ledger/terms.py
+++ b/sequoiaarch/ledger/terms.py
@@ -33,7 +33,7 @@
 
 
 class TurnTerms(msgspec.Struct, frozen=True, kw_only=True):
-    """Identity of a turn and the most tokens that it may use.
+    """Identity of a turn, and in `most` the maximum of tokens that it may use.
 
     The turns of a `session` follow each other: beginning one abandons those before. It
     is empty if the caller names none. `retention` is in seconds.
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -23,7 +23,7 @@
 # How long to wait for the log before asking a lender. Callers give up after two seconds
 # without an event. Seconds.
 LOG_TIMEOUT = 0.3
-# Smallest useful loan, as a share of the turn's maximum; most turns would use up a
+# Smallest useful loan, as a fraction of the turn's maximum; most turns would use up a
 # smaller one before they end.
 MIN_LOAN_FRACTION = 0.4
 # How long a stream waits for more budget, about as long as callers wait for an event,
--- a/sequoiaarch/observe/request_metrics.py
+++ b/sequoiaarch/observe/request_metrics.py
@@ -56,7 +56,7 @@
         self._state.set({"name": name}, value)
 
     def set_shares(self, free: Mapping[tuple[Workspace, int], float]) -> None:
-        """Set the free tokens of the shares kept here, and 0 for those given up."""
+        """Set the free tokens of the shares owned here, and 0 for those lost since."""
         removed = dict.fromkeys(self._reported_shares - free.keys(), 0.0)
         for (workspace, share), tokens in {**removed, **free}.items():
             self._shares.set({"workspace": workspace, "share": str(share)}, tokens)
--- a/sequoiaarch/platform/settings.py
+++ b/sequoiaarch/platform/settings.py
@@ -14,7 +14,7 @@
 
 SETTINGS_VARIABLE = "SEQUOIAARCH_SETTINGS"
 MIB = 1024 * 1024
-# Share of the platform's limit for the age of keys; the rest is a margin for clock
+# Fraction of the platform's limit for the age of keys; the rest is a margin for clock
 # drift between hosts.
 KEY_AGE_FRACTION = 0.95
 
--- a/sequoiaarch/policies/engines.py
+++ b/sequoiaarch/policies/engines.py
@@ -11,7 +11,8 @@
 
 from ..ids import InstanceId
 
-# Prompt tokens that an engine processes per second.
+# Prompt tokens that an engine behind an ingress daemon processes per second. The
+# programs of gateways are placed by another rate, `placement.PREFILL_RATE`.
 PREFILL_RATE = 165_000.0
 # Time that each running request of this process adds to the next one; requests of
 # other processes are part of the wait. Seconds.
--- a/sequoiaarch/policies/health.py
+++ b/sequoiaarch/policies/health.py
@@ -54,7 +54,8 @@
     """Hold the health of one target; times are on the caller's clock.
 
     `ejected` holds until the first answer after an ejection. This host may probe the
-    target from `probe_from` on, and again after `next_probe`.
+    target from `probe_from` on, and again from `next_probe` on. `ejection` is the
+    duration of the latest ejection in seconds, halved when the target is used again.
     """
 
     failure_rate: float = 0.0
--- a/sequoiaarch/policies/placement.py
+++ b/sequoiaarch/policies/placement.py
@@ -14,7 +14,7 @@
 SAMPLED_TARGETS = 2
 # Duration of a call at a target that reports none. Seconds.
 DEFAULT_CALL_SECONDS = 0.5
-# Prompt tokens that an engine processes per second.
+# Prompt tokens that an engine behind a sidecar processes per second.
 PREFILL_RATE = 20_000.0
 # A move must save this many times the time to rebuild the prefix.
 MOVE_MARGIN = 1.5
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -747,7 +747,7 @@
         await self.use_all_tokens(newer)
 
     async def test_earlier_turn_continues_after_newer_one(self) -> None:
-        """Let an earlier turn use what the newer one of its caller returned."""
+        """Let an earlier turn use what the newer one of its caller released."""
         earlier = await self.opened(self.other, self.small_start("t1"))
         newer = await self.opened(self.other, self.small_start("t2"))
         newer.record_usage(10)
--- a/sequoiaarch/tests/fleet/peers_tests.py
+++ b/sequoiaarch/tests/fleet/peers_tests.py
@@ -24,7 +24,7 @@
 
 
 class _FakeStoreClient:
-    """Store caller of a peer, with switchable failures."""
+    """Store client of a peer, with switchable failures."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -71,18 +71,18 @@
 
     async def add(self, name: str, data_centre: DataCentre) -> _FakeStoreClient:
         """Start a peer and register it."""
-        caller = _FakeStoreClient(name)
+        client = _FakeStoreClient(name)
         server = PeerServer(
             context=self.context,
             address="127.0.0.1:*",
-            client=caller,
-            reaches_store=lambda: caller.reaches_store,
+            client=client,
+            reaches_store=lambda: client.reaches_store,
         )
         task = asyncio.create_task(server.run())
         self.closing.append(server.close)
         self.serving.append(task)
         self.register(name, server.address.removeprefix("tcp://"), data_centre)
-        return caller
+        return client
 
     def register(self, name: str, address: str, data_centre: DataCentre) -> None:
         """Apply a registration record of a peer."""
--- a/sequoiaarch/tests/ledger/crash_tests.py
+++ b/sequoiaarch/tests/ledger/crash_tests.py
@@ -66,12 +66,12 @@
 
     @property
     def limit(self) -> int:
-        """Return the most that the log may grant; the rest is lent."""
+        """Return the maximum that the log may grant; the rest is lent."""
         return self.split.log_limit(self.terms("any"))
 
     @property
     def max_used(self) -> int:
-        """Return the most that all turns so far can have used."""
+        """Return the maximum that all turns so far can have used."""
         return self.ended + (self.crashed_turns + len(self.open)) * MOST
 
     @property
