--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -79,7 +79,7 @@
 
     A lender keeps its rank even if it is dead, frozen or partitioned; its successor
     gets the next rank with a smaller part of the budget. Several processes can
-    therefore lend to one program without handing out the same tokens. Claims are
+    therefore lend to one program without lending the same tokens. Claims are
     appended, so a stale view never shows a lender at a rank that is too low.
     """
 
@@ -95,9 +95,9 @@
         self._carried.clear()
         self._lenders = None
         for record in records:
-            self.change(record)
+            self.apply(record)
 
-    def change(self, record: ListedRecord) -> None:
+    def apply(self, record: ListedRecord) -> None:
         """Apply one record: a claim, carried loans, or a removal."""
         self._claims.pop(record.key, None)
         self._carried.pop(record.key, None)
--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -29,7 +29,7 @@
 # Seconds.
 PEER_TIMEOUT = 0.5
 PEER_SILENCE_LIMIT = 1.0
-REGISTER_RETRY = 0.5
+REGISTER_RETRY_INTERVAL = 0.5
 # How long registration waits for the first list of registrations. Seconds.
 FIRST_LIST_TIMEOUT = 1.0
 
@@ -85,14 +85,14 @@
         self._known.clear()
         self._own_writer = WriterId("")
         for record in records:
-            self._apply(record)
+            self._update_registration(record)
         self._notify_own_registration(ordered=False)
         self._listed.set()
         self._rebuild_indexes()
 
-    def change(self, record: KeyedRecord) -> None:
+    def apply(self, record: KeyedRecord) -> None:
         """Apply one registration or its removal."""
-        self._apply(record)
+        self._update_registration(record)
         if record.key == self._own:
             self._notify_own_registration(ordered=True)
         self._rebuild_indexes()
@@ -133,7 +133,7 @@
             result = await keyed_log.append(PARTITION, [record], writer=first)
             if not isinstance(result, Failure):
                 return
-            await asyncio.sleep(REGISTER_RETRY)
+            await asyncio.sleep(REGISTER_RETRY_INTERVAL)
 
     async def unregister(self, keyed_log: KeyedLog, writer: str) -> None:
         """Remove this process's registration; a failure is only logged."""
@@ -172,7 +172,7 @@
         """Close all links."""
         self._links.close()
 
-    def _apply(self, record: KeyedRecord) -> None:
+    def _update_registration(self, record: KeyedRecord) -> None:
         host = HostName(record.key)
         decoded = _decode(record)
         if host == self._own:
@@ -240,10 +240,10 @@
         *,
         context: zmq.asyncio.Context,
         address: str,
-        caller: StoreClient,
+        client: StoreClient,
         reaches_store: Callable[[], bool] = lambda: True,
     ) -> None:
-        self._caller = caller
+        self._client = client
         self._reaches_store = reaches_store
         self.fallback: Handler = _reject_request
         self._responder = Responder(
@@ -273,7 +273,7 @@
                     request.call, "store is not reachable from this peer either"
                 )
             )
-        reply = await self._caller.call(request.call)
+        reply = await self._client.call(request.call)
         if isinstance(reply, Failure):
             return Failed(failure=reply)
         return StoreAnswer(reply=reply)
--- a/sequoiaarch/ingress/daemon.py
+++ b/sequoiaarch/ingress/daemon.py
@@ -33,7 +33,7 @@
 from ..routing.routes import ClientLimits, RouteTable
 from ..routing.targets import Targets
 from ..storage.keyed import KeyedLog
-from ..storage.relayed import StoreAccess
+from ..storage.relayed import StorePath
 from ..wire.links import Send
 from ..wire.messages import Reply as PeerReply, Request
 from ..workspaces.access import Access
@@ -57,16 +57,16 @@
 # Seconds of the stop timeout left to write queued records and close.
 STOP_RESERVE = 1.0
 WRITER_BYTES = 6
-# Share of the memory for the bodies of open requests.
-BODY_MEMORY_SHARE = 0.15
-# Share of the memory for the cache of committed turns.
-TURN_MEMORY_SHARE = 0.1
-# Share of the file descriptors for connections of callers; targets, store and peers
-# need the rest.
-CALLER_LINKS_SHARE = 0.6
+# Fraction of the memory for the bodies of open requests.
+BODY_MEMORY_FRACTION = 0.15
+# Fraction of the memory for the cache of committed turns.
+TURN_MEMORY_FRACTION = 0.1
+# Fraction of the file descriptors for connections of callers; targets, store and
+# peers need the rest.
+CALLER_CONNECTIONS_FRACTION = 0.6
 METRICS_PATH = b"/metrics"
-# Seconds for which a process without contact to its peers keeps its shares of rate
-# limits, where keys have no age limit.
+# Seconds for which a process that can't read the registrations still owns its shares
+# of rate limits, where keys have no age limit.
 DEFAULT_LEASE = 10.0
 
 
@@ -84,7 +84,7 @@
         reload: Callable[[], IngressOptions] | None = None,
         events: EventLog | None = None,
         metrics: RequestMetrics | None = None,
-        store_way: Callable[[], StoreAccess] = lambda: StoreAccess.DIRECT,
+        store_path: Callable[[], StorePath] = lambda: StorePath.DIRECT,
     ) -> None:
         self._reload = reload
         self._options = options
@@ -98,7 +98,7 @@
             log=keyed_log,
             writer=writer,
             partition_map=partition_map,
-            turn_bytes=int(options.memory_bytes * TURN_MEMORY_SHARE),
+            turn_bytes=int(options.memory_bytes * TURN_MEMORY_FRACTION),
             split=split,
         )
         sweeper = Sweeper(
@@ -122,7 +122,7 @@
             rng=rng,
         )
         self._metrics = metrics or RequestMetrics()
-        self.dispatcher.store_way = store_way
+        self.dispatcher.store_path = store_path
         access.reached = self.dispatcher.store_reachable
         bounds = options.quota or QuotaBounds()
         quotas: Quotas = local_quotas(limits=access.limit_of, bounds=bounds)
@@ -137,7 +137,7 @@
                 ledger=self.ledger,
                 split=split,
                 health=health,
-                limits=QuotaOptions(
+                quota_options=QuotaOptions(
                     of=access.limit_of,
                     bounds=bounds,
                     lease=options.key_age_limit or DEFAULT_LEASE,
@@ -172,7 +172,7 @@
             log=keyed_log,
             topic=sources.targets_topic,
             replace=registrations.replace,
-            change=registrations.apply,
+            apply=registrations.apply,
             batch_delay=TARGETS_BATCH_DELAY,
             on_lost=self.targets.store_lost,
             on_regained=self.targets.store_regained,
@@ -184,7 +184,7 @@
             self.ledger.run_trim(),
             self.ledger.run_release(),
             sweeper.run(),
-            self.dispatcher.pool.sweep(),
+            self.dispatcher.pool.run_close_expired(),
             self.dispatcher.load.watch(),
         ]
         if events is not None:
@@ -277,13 +277,13 @@
         await self.ledger.close()
 
     async def _handle_ready(
-        self, message: RequestMessage, reply: ResponseWriter
+        self, message: RequestMessage, writer: ResponseWriter
     ) -> None:
         if message.target.split(b"?")[0] == METRICS_PATH:
             headers = [(b"Content-Type", b"text/plain")]
-            await reply.send_response(200, headers, self.metrics_text())
+            await writer.send_response(200, headers, self.metrics_text())
             return
-        await reply.send_response(200 if self.ready else 503, [], b"")
+        await writer.send_response(200 if self.ready else 503, [], b"")
 
     def metrics_text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -315,8 +315,8 @@
             "target_connections_opened": float(self.dispatcher.pool.opened),
         }
         if self._fleet is not None:
-            state["loans_lent"] = float(self._fleet.loans.lent)
-            state["loans_refused"] = float(self._fleet.loans.refused)
+            state["loans_lent"] = float(self._fleet.loans.loans_lent)
+            state["loans_refused"] = float(self._fleet.loans.loans_refused)
             self._metrics.set_shares(self._fleet.limiter.free())
         for name, value in state.items():
             self._metrics.set_state(name, value)
@@ -331,8 +331,8 @@
             body_bytes=limits.body_bytes,
             header_timeout=limits.header_timeout,
             idle_timeout=limits.idle_timeout,
-            held_bytes=int(self._options.memory_bytes * BODY_MEMORY_SHARE),
-            links=int(self._options.descriptors * CALLER_LINKS_SHARE),
+            held_bytes=int(self._options.memory_bytes * BODY_MEMORY_FRACTION),
+            links=int(self._options.descriptors * CALLER_CONNECTIONS_FRACTION),
         )
 
     def _forget_target(self, instance: InstanceId) -> None:
--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -56,7 +56,7 @@
 
     def __init__(self, *, health: TargetHealth) -> None:
         self._health = health
-        # Called with a target and whether it works, when peers should be told.
+        # Called with a target and whether it works, to report this to the peers.
         self.report: Callable[[InstanceId, bool], None] = lambda instance, ok: None
         self._loads: dict[InstanceId, _TargetLoad] = defaultdict(_TargetLoad)
         self._idle_latency = INITIAL_IDLE_LATENCY
@@ -67,7 +67,7 @@
 
     def request_started(self, instance: InstanceId) -> None:
         """Count a request to a target as running."""
-        self._health.request_sent(instance, asyncio.get_running_loop().time())
+        self._health.request_started(instance, asyncio.get_running_loop().time())
         self._loads[instance].running += 1
 
     def request_ended(self, instance: InstanceId) -> None:
@@ -139,11 +139,11 @@
     def first_event_received(self, instance: InstanceId, request: object) -> None:
         """Update the wait estimates by the first event of a response."""
         load = self._loads[instance]
-        started_at = load.prefilled_at.pop(request, None)
-        if started_at is None:
+        prefilled_at = load.prefilled_at.pop(request, None)
+        if prefilled_at is None:
             return
         now = asyncio.get_running_loop().time()
-        latency = max(0.0, now - started_at)
+        latency = max(0.0, now - prefilled_at)
         self._idle_latency = min(self._idle_latency, latency)
         wait = latency - self._idle_latency
         self._recent_waits.append((now, wait))
@@ -164,14 +164,12 @@
         now = asyncio.get_running_loop().time()
         if ok:
             self._health.response_received(instance, now)
-        report_due = (
-            self._health.request_succeeded if ok else self._health.request_failed
-        )
-        if report_due(instance, now):
+        record = self._health.request_succeeded if ok else self._health.request_failed
+        if record(instance, now):
             self.report(instance, ok)
 
     def failure_rate(self, instance: InstanceId) -> float:
-        """Return the share of requests that are expected to fail at a target."""
+        """Return the fraction of requests that are expected to fail at a target."""
         return self._health.failure_rate(instance, asyncio.get_running_loop().time())
 
     def forget(self, instance: InstanceId) -> None:
--- a/sequoiaarch/ledger/loans.py
+++ b/sequoiaarch/ledger/loans.py
@@ -12,7 +12,7 @@
 
 # Accounts outlive the retention of their program by this margin: the tokens of a
 # program that resumes must not be lent twice. Seconds.
-FORGET_AFTER = 60.0
+EXPIRY_MARGIN = 60.0
 # How long settled loans are remembered, to reject delayed duplicates of their requests.
 # Seconds.
 SETTLED_RETENTION = 120.0
@@ -56,28 +56,28 @@
         self._accounts: dict[ProgramId, _Account] = {}
         # Time at which each loan was settled, oldest first.
         self._settled: dict[LoanId, float] = {}
-        self.lent = 0
-        self.refused = 0
+        self.loans_lent = 0
+        self.loans_refused = 0
 
     def lend(self, loan: LoanId, terms: TurnTerms, rank: int, least: int) -> int:
         """Return the tokens of a loan, 0 if fewer than `least` are available.
 
-        A repeated request for the same loan raises it to what the turn may need.
+        A repeated request for the same loan increases it to what the turn may need.
         """
         # A request that arrives after its settlement would open a loan that nobody
         # closes. Its borrower has gone, so the refusal harms no one.
         if loan in self._settled:
-            self.refused += 1
+            self.loans_refused += 1
             return 0
         account = self._account(terms)
         before = account.open.get(loan, 0)
         available = self.available(terms.program, terms.budget, rank) + before
         amount = min(terms.most, available)
         if amount <= before or amount < least:
-            self.refused += 1
+            self.loans_refused += 1
             return before
         account.open[loan] = amount
-        self.lent += 1
+        self.loans_lent += 1
         return amount
 
     def available(self, program: ProgramId, budget: int, rank: int) -> int:
@@ -108,7 +108,7 @@
         now = self._clock()
         self._forget_settled(now)
         for program, account in list(self._accounts.items()):
-            if account.last_used + account.retention + FORGET_AFTER < now:
+            if account.last_used + account.retention + EXPIRY_MARGIN < now:
                 del self._accounts[program]
 
     def _forget_settled(self, now: float) -> None:
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -9,10 +9,10 @@
 from .account import Account, TurnAllocation
 from .terms import BudgetVerdict, TurnTerms
 
-# Share of a turn's maximum that is reserved at its start, and again at each extension,
-# when the budget is scarce. Turns use a quarter of their maximum on average, so most
-# need no extension.
-RESERVED_SHARE = 1 / 3
+# Fraction of a turn's maximum that is reserved at its start, and again at each
+# extension, when the budget is scarce. Turns use a quarter of their maximum on average,
+# so most need no extension.
+RESERVED_FRACTION = 1 / 3
 # Interval of the checks for an unavailable store while waiting for a grant. Seconds.
 STORE_CHECK_INTERVAL = 0.1
 
@@ -55,7 +55,7 @@
         account.open.append(allocation)
 
     @property
-    def granted(self) -> bool:
+    def is_granted(self) -> bool:
         """Return whether the grant is known to cover what the turn has reserved.
 
         The caller may then use that part, so it is marked as confirmed.
@@ -180,4 +180,4 @@
 
 def initial_share(most: int) -> int:
     """Return the tokens reserved at the start of a turn when the budget is scarce."""
-    return math.ceil(most * RESERVED_SHARE)
+    return math.ceil(most * RESERVED_FRACTION)
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -23,9 +23,9 @@
 # How long to wait for the log before asking a lender. Callers give up after two seconds
 # without an event. Seconds.
 LOG_TIMEOUT = 0.3
-# Smallest useful loan, as a share of the turn's maximum; most turns would use up a
+# Smallest useful loan, as a fraction of the turn's maximum; most turns would use up a
 # smaller one before they end.
-MIN_LOAN_SHARE = 0.4
+MIN_LOAN_FRACTION = 0.4
 # How long a stream waits for more budget, about as long as callers wait for an event,
 # and the interval of its retries. Seconds.
 COVER_TIMEOUT = 2.0
@@ -116,9 +116,9 @@
         return "here" if self._hold.from_log else f"here, {self.covered} lent"
 
     @property
-    def granted(self) -> bool:
+    def is_granted(self) -> bool:
         """Return whether the turn is already known to fit."""
-        return self._hold.granted
+        return self._hold.is_granted
 
     @property
     def covered(self) -> int | None:
@@ -301,7 +301,7 @@
     unavailable, but not near the end of a budget.
     """
     uncertain = verdict is BudgetVerdict.UNCERTAIN
-    least = int(terms.most * MIN_LOAN_SHARE) if uncertain else terms.most
+    least = int(terms.most * MIN_LOAN_FRACTION) if uncertain else terms.most
     return await lender.borrow(terms, least=least)
 
 
--- a/sequoiaarch/platform/program.py
+++ b/sequoiaarch/platform/program.py
@@ -16,7 +16,7 @@
 from ..observe.events import EventLog, events_written_to
 from ..storage.direct import DirectClient
 from ..storage.hedged import HedgedClient
-from ..storage.relayed import RelayedClient, StoreAccess
+from ..storage.relayed import RelayedClient, StorePath
 from .documents import (
     CONFIG_KEY,
     CONFIG_TOPIC,
@@ -51,24 +51,24 @@
         seeds=options.seeds,
         rng=random.Random(),
     )
-    caller = RelayedClient(
+    client = RelayedClient(
         direct=direct, relay=peers.relay, relay_delay=lambda: direct.relay_delay
     )
     server = PeerServer(
         context=context,
         address=options.inner,
-        caller=direct,
-        reaches_store=lambda: caller.access is StoreAccess.DIRECT,
+        client=direct,
+        reaches_store=lambda: client.path is StorePath.DIRECT,
     )
     daemon = IngressDaemon(
         options=options,
-        keyed_log=PlatformLog(caller=caller),
+        keyed_log=PlatformLog(client=client),
         codec=PlatformCallCodec(),
         sources=SOURCES,
         peers=peers,
         reload=lambda: read_settings(path),
         events=events,
-        store_way=lambda: caller.access,
+        store_path=lambda: client.path,
     )
     server.fallback = daemon.answer_peer
     server_task = asyncio.create_task(server.run())
--- a/sequoiaarch/routing/follower.py
+++ b/sequoiaarch/routing/follower.py
@@ -17,7 +17,7 @@
 # Maximum time for which a read waits for changes. It is short, as a read on a dead
 # connection delays all changes until it ends. Seconds.
 WAIT_SECONDS = 2.0
-RETRY_SECONDS = 0.2
+RETRY_INTERVAL = 0.2
 
 
 def boottime_clock() -> float:
@@ -39,7 +39,7 @@
         log: KeyedLog,
         topic: str,
         replace: Callable[[Sequence[ListedRecord]], None],
-        change: Callable[[ListedRecord], None],
+        apply: Callable[[ListedRecord], None],
         batch_delay: float = 0.0,
         wait: float = WAIT_SECONDS,
         on_lost: Callable[[], None] = lambda: None,
@@ -49,7 +49,7 @@
         self._log = log
         self._partition = Partition(topic=topic, number=0)
         self._replace = replace
-        self._change = change
+        self._apply = apply
         self._batch_delay = batch_delay
         self._wait = wait
         self._on_lost = on_lost
@@ -86,7 +86,7 @@
                 self._unavailable = True
                 log.warning("topic {} can't be read: {}", self._partition.topic, reason)
                 self._on_lost()
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_INTERVAL)
 
     async def _read_once(self) -> str | None:
         """Read once; return the reason if it failed."""
@@ -101,7 +101,7 @@
             return page.reason
         assert not isinstance(page, LogGap)
         for number, record in enumerate(page.records, page.start):
-            self._change(
+            self._apply(
                 ListedRecord(key=record.key, value=record.value, offset=Offset(number))
             )
         self._cursor = page.next
--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -95,7 +95,7 @@
     )
 
 
-class FailingStoreCaller:
+class FailingStoreClient:
     """Store caller that fails every call."""
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
@@ -112,7 +112,7 @@
         self.name = HostName(name)
         self.client = client
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
@@ -154,7 +154,7 @@
             for other in processes.values():
                 record = PeerRecord(address=other.address, data_centre=LOCAL_CENTRE)
                 value = msgspec.json.encode(record)
-                process.peers.change(KeyedRecord(key=other.name, value=value))
+                process.peers.apply(KeyedRecord(key=other.name, value=value))
         delegate = processes["one"].delegates.delegate_of(PROGRAM) or HostName("one")
         self.delegate = processes.pop(delegate)
         self.other = processes.popitem()[1]
@@ -459,7 +459,7 @@
             return failure_reply("not open here")
 
         self.set_delegate_handler(reject)
-        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.5):
+        with mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.5):
             self.assertTrue(await turn.cover(70))
         turn.close()
 
@@ -747,7 +747,7 @@
         await self.use_all_tokens(newer)
 
     async def test_earlier_turn_continues_after_newer_one(self) -> None:
-        """Let an earlier turn use what the newer one of its caller returned."""
+        """Let an earlier turn use what the newer one of its caller released."""
         earlier = await self.opened(self.other, self.small_start("t1"))
         newer = await self.opened(self.other, self.small_start("t2"))
         newer.record_usage(10)
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -21,7 +21,7 @@
     slot_of,
 )
 from ...fleet.loan_service import ASK_TIMEOUT, LoanService
-from ...fleet.notifier import RETRY_TIMEOUT
+from ...fleet.notifier import ATTEMPT_TIMEOUT
 from ...fleet.peer_health import GONE_FAILURES, PeerHealth
 from ...fleet.peers import TOPIC as PEERS_TOPIC, Peers, PeerServer
 from ...fleet.slot_claimer import SlotClaimer
@@ -29,7 +29,7 @@
 from ...ids import DataCentre, HostName, OpeningId, ProgramId, TurnId, WriterId
 from ...ledger.holds import NoLender
 from ...ledger.ledger import Ledger
-from ...ledger.loans import FORGET_AFTER, LoanBook
+from ...ledger.loans import EXPIRY_MARGIN as LOAN_EXPIRY_MARGIN, LoanBook
 from ...ledger.partition_map import PartitionMap
 from ...ledger.reservation import Reservation
 from ...ledger.split import LendingSplit
@@ -48,7 +48,7 @@
     SettleRequest,
     TurnOpened,
 )
-from .delegates_tests import FailingStoreCaller
+from .delegates_tests import FailingStoreClient
 
 PROGRAM = ProgramId("program")
 BUDGET = 2000
@@ -88,7 +88,7 @@
         self.writer = WriterId(writer or f"writer-{name}")
         self.client = store.client()
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.peers = Peers(
             context=context,
@@ -142,13 +142,13 @@
                 log=self.client,
                 topic=PEERS_TOPIC,
                 replace=self.peers.replace,
-                change=self.peers.change,
+                apply=self.peers.apply,
             ),
             TopicFollower(
                 log=self.client,
                 topic=CLAIMS_TOPIC,
                 replace=self.claims.replace,
-                change=self.claims.change,
+                apply=self.claims.apply,
             ),
         ]
         parts = [one.follow() for one in followers]
@@ -411,7 +411,7 @@
         left = [one for one in self.processes if one is not self.lender]
         for process in left:
             for _ in range(GONE_FAILURES):
-                process.peer_health._until.clear()
+                process.peer_health._backoff_until.clear()
                 process.peer_health.request_failed(self.lender.name, "no reply")
         await self.wait_until(lambda: any(one.rank == 1 for one in left))
         await self.wait_until(
@@ -429,7 +429,7 @@
         clock = mock.Mock(return_value=0.0)
         self.other.claimer.expiry = ClaimExpiry(clock=clock)
         for _ in range(GONE_FAILURES):
-            self.other.peer_health._until.clear()
+            self.other.peer_health._backoff_until.clear()
             self.other.peer_health.request_failed(self.lender.name, "no reply")
         self.assertEqual(self.other.claimer.expired_claims(RETENTION), [])
         clock.return_value = 100 * LENDING_LEASE
@@ -511,7 +511,7 @@
         turn = await self.open_on_loan(self.other, "turn-1", most=300)
         turn.record_usage(40)
         turn.close()
-        await asyncio.sleep(RETRY_TIMEOUT)
+        await asyncio.sleep(ATTEMPT_TIMEOUT)
         await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 40})
 
@@ -638,7 +638,9 @@
         turn.record_usage(75)
         turn.close()
         await self.wait_until(lambda: self.lender.book.totals() == {PROGRAM: 375})
-        clock = mock.Mock(return_value=time.monotonic() + RETENTION + FORGET_AFTER + 1)
+        clock = mock.Mock(
+            return_value=time.monotonic() + RETENTION + LOAN_EXPIRY_MARGIN + 1
+        )
         self.lender.book._clock = clock
         self.lender.book.forget_old()
         self.assertEqual(self.lender.book.totals(), {})
--- a/sequoiaarch/tests/fleet/peers_tests.py
+++ b/sequoiaarch/tests/fleet/peers_tests.py
@@ -23,8 +23,8 @@
 FAILED = Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="denied too")
 
 
-class _Caller:
-    """Store caller of a peer, with switchable failures."""
+class _FakeStoreClient:
+    """Store client of a peer, with switchable failures."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -69,26 +69,26 @@
             close()
         self.context.destroy(linger=0)
 
-    async def add(self, name: str, data_centre: DataCentre) -> _Caller:
+    async def add(self, name: str, data_centre: DataCentre) -> _FakeStoreClient:
         """Start a peer and register it."""
-        caller = _Caller(name)
+        client = _FakeStoreClient(name)
         server = PeerServer(
             context=self.context,
             address="127.0.0.1:*",
-            caller=caller,
-            reaches_store=lambda: caller.reaches_store,
+            client=client,
+            reaches_store=lambda: client.reaches_store,
         )
         task = asyncio.create_task(server.run())
         self.closing.append(server.close)
         self.serving.append(task)
         self.register(name, server.address.removeprefix("tcp://"), data_centre)
-        return caller
+        return client
 
     def register(self, name: str, address: str, data_centre: DataCentre) -> None:
         """Apply a registration record of a peer."""
         record = PeerRecord(address=address, data_centre=data_centre)
         value = msgspec.json.encode(record)
-        self.peers.change(KeyedRecord(key=name, value=value))
+        self.peers.apply(KeyedRecord(key=name, value=value))
 
     async def relay_call(self) -> str:
         """Relay a call and return the name of the peer that made it."""
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -12,11 +12,11 @@
 from ...fleet.peers import PeerRecord, Peers, PeerServer
 from ...fleet.target_reports import TargetReports
 from ...ids import DataCentre, HostName, InstanceId
-from ...policies.health import EJECTED, TargetHealth
+from ...policies.health import EJECTED_FAILURE_RATE, TargetHealth
 from ...storage.keyed import KeyedRecord
 from ...wire.links import Send
 from ...wire.messages import Reply, Request, TargetReport
-from .delegates_tests import FailingStoreCaller
+from .delegates_tests import FailingStoreClient
 
 TARGET = InstanceId("target")
 LOCAL_CENTRE = DataCentre("here")
@@ -33,7 +33,7 @@
         self.name = HostName(name)
         self.data_centre = data_centre
         self.server = PeerServer(
-            context=context, address="127.0.0.1:*", caller=FailingStoreCaller()
+            context=context, address="127.0.0.1:*", client=FailingStoreClient()
         )
         self.address = self.server.address.removeprefix("tcp://")
         self.peers = Peers(
@@ -66,7 +66,7 @@
     def passes_over(self) -> bool:
         """Return whether this host avoids the target."""
         now = asyncio.get_running_loop().time()
-        return self.health.failure_rate(TARGET, now) == EJECTED
+        return self.health.failure_rate(TARGET, now) == EJECTED_FAILURE_RATE
 
 
 class TargetReportsTests(unittest.IsolatedAsyncioTestCase):
@@ -91,7 +91,7 @@
                     address=other.address, data_centre=other.data_centre
                 )
                 value = msgspec.json.encode(record)
-                host.peers.change(KeyedRecord(key=other.name, value=value))
+                host.peers.apply(KeyedRecord(key=other.name, value=value))
         self.serving = [
             asyncio.create_task(host.server.run()) for host in self.hosts.values()
         ]
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -306,7 +306,7 @@
         fresh = await self.ledger("b")
         # Before this deadline the turn is refused as held, since a live process may
         # release the tokens.
-        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.0):
             result = await fresh.reserve(small_terms("t3"))
         self.assertIsInstance(result, Reservation)
 
@@ -328,7 +328,7 @@
         first.record_usage(MOST)
         fresh = await self.ledger("b")
         used = MOST
-        with mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.0):
+        with mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.0):
             for number in range(4):
                 hold = await fresh.reserve(small_terms(f"u{number}"))
                 if isinstance(hold, Reservation):
@@ -362,7 +362,7 @@
             return msgspec.structs.replace(terms(turn), budget=budget)
 
         with (
-            mock.patch.object(budgets_module, "RELEASE_DEADLINE", 0.6),
+            mock.patch.object(budgets_module, "RELEASE_TIMEOUT", 0.6),
             mock.patch.object(budgets_module, "RELEASE_INTERVAL", 0.1),
             mock.patch.object(ledger_module, "RELEASE_INTERVAL", 0.1),
         ):
@@ -483,9 +483,9 @@
         self.clients["a"].faults.lost_answers = 1
         covering = asyncio.create_task(hold.cover(before + 1))
         await asyncio.sleep(0)
-        self.assertFalse(hold.granted)
+        self.assertFalse(hold.is_granted)
         self.assertTrue(await covering)
-        self.assertTrue(hold.granted)
+        self.assertTrue(hold.is_granted)
 
     async def test_grants_of_a_lost_process_count_as_spent(self) -> None:
         """Count what a lost process was granted as spent."""
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -10,7 +10,11 @@
 from ...fleet.claims import EXPIRY_MARGIN, LENDING_LEASE, ClaimExpiry, Claims
 from ...ids import LoanId, Offset, ProgramId, TurnId
 from ...ledger import loans as loans_module
-from ...ledger.loans import FORGET_AFTER, SETTLED_RETENTION, LoanBook
+from ...ledger.loans import (
+    EXPIRY_MARGIN as LOAN_EXPIRY_MARGIN,
+    SETTLED_RETENTION,
+    LoanBook,
+)
 from ...ledger.split import LendingSplit, LogOnlySplit
 from ...ledger.terms import TurnTerms
 from ...storage.keyed import ListedRecord
@@ -168,7 +172,7 @@
         """
         self.book.lend(LoanId("1"), terms(2000, 375), 0, MIN_LOAN)
         self.book.settle(LoanId("1"), PROGRAM, 375)
-        self.clock.now = RETENTION + FORGET_AFTER - 1
+        self.clock.now = RETENTION + LOAN_EXPIRY_MARGIN - 1
         self.book.forget_old()
         self.assertEqual(self.book.lend(LoanId("2"), terms(2000, 250), 0, MIN_LOAN), 0)
         self.clock.now *= 3
@@ -202,9 +206,9 @@
     def test_invalid_claim_is_skipped(self) -> None:
         """Keep the other claims if one can't be decoded."""
         claims = Claims()
-        claims.change(self.record("a", 0))
-        claims.change(ListedRecord(key="x/0", value=b"\xff", offset=Offset(1)))
-        claims.change(self.record("b", 2, slots='["none"]'))
+        claims.apply(self.record("a", 0))
+        claims.apply(ListedRecord(key="x/0", value=b"\xff", offset=Offset(1)))
+        claims.apply(self.record("b", 2, slots='["none"]'))
         self.assertEqual(self.ranks(claims, 1), {"a": 0})
 
     def test_claim_outlives_its_loans(self) -> None:
@@ -217,7 +221,7 @@
         clock = Clock()
         expiry = ClaimExpiry(clock=clock)
         claims = Claims()
-        claims.change(self.record("a", 0))
+        claims.apply(self.record("a", 0))
         not_live = lambda writer: False  # noqa: E731
         self.assertEqual(expiry.expired(claims.writers(), not_live, RETENTION), [])
         clock.now = LENDING_LEASE + RETENTION + EXPIRY_MARGIN
@@ -230,7 +234,7 @@
         clock = Clock()
         expiry = ClaimExpiry(clock=clock)
         claims = Claims()
-        claims.change(self.record("a", 0))
+        claims.apply(self.record("a", 0))
         expiry.expired(claims.writers(), lambda writer: False, RETENTION)
         clock.now = 150.0
         expiry.expired(claims.writers(), lambda writer: True, RETENTION)
--- a/sequoiaarch/tests/platform/external_records_tests.py
+++ b/sequoiaarch/tests/platform/external_records_tests.py
@@ -127,7 +127,7 @@
 
 def log_of(body: bytes) -> PlatformLog:
     """Return a log whose store answers every call with the bytes."""
-    return PlatformLog(caller=_Replies(body))
+    return PlatformLog(client=_Replies(body))
 
 
 def run(answer: Awaitable[Any]) -> Any:
--- a/sequoiaarch/tests/workspaces/simulation.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -95,7 +95,7 @@
             self._update_lease(ordered=False)
         self.version = len(self.fleet.changes)
         if self.host_lease.pending and all(map(self._seen_by, self.view)):
-            self.host_lease.seen_by_all()
+            self.host_lease.activate()
         self.limiter.drop_unowned()
 
     def take(self, asked: float, begins: bool) -> bool:
@@ -112,7 +112,7 @@
         """Grant tokens to another process or this one."""
         if self.fleet.missing.new_owner_starts_full:
             self._fill()
-        return self.limiter.take(WORKSPACE, share, count, begins=begins)
+        return self.limiter.grant(WORKSPACE, share, count, begins=begins)
 
     def _fill(self) -> None:
         """Clear new windows, as if no previous owner had granted tokens."""
@@ -242,8 +242,8 @@
         """Return the maximum number of requests that ran in any window."""
         return max(
             (
-                bisect_left(self.ran, begin + BOUNDS.window) - place
-                for place, begin in enumerate(self.ran)
+                bisect_left(self.ran, begin + BOUNDS.window) - index
+                for index, begin in enumerate(self.ran)
             ),
             default=0,
         )
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -18,7 +18,7 @@
 from .token_cache import TokenCache
 
 # Time after which a lost owner of a share has likely been replaced. Seconds.
-UNKNOWN_RETRY = 0.3
+UNKNOWN_RETRY_AFTER = 0.3
 
 
 class Refusal(msgspec.Struct, frozen=True, kw_only=True):
@@ -62,7 +62,7 @@
             return until
         waits = []
         for share in range(SHARES):
-            found = self._limiter.take(workspace, share, 1, begins=begins)
+            found = self._limiter.grant(workspace, share, 1, begins=begins)
             if found.count:
                 return self._token_cache.put(workspace, 0, asked=asked)
             waits.append(found.wait or 0.0)
@@ -162,5 +162,5 @@
     """Combine the answers of all owners into a refusal with the shortest wait."""
     waits = [one.wait for one in answers if one.wait is not None]
     if not waits:
-        return Refusal(wait=UNKNOWN_RETRY, kept=False)
+        return Refusal(wait=UNKNOWN_RETRY_AFTER, kept=False)
     return Refusal(wait=min(waits))
