--- a/sequoiaarch/config/documents.py
+++ b/sequoiaarch/config/documents.py
@@ -57,7 +57,7 @@
     OPEN = "open"
 
 
-class WhenLogIsAway(Enum):
+class LogOutagePolicy(Enum):
     """Say what happens to non-idempotent calls while the log is away."""
 
     REFUSE = "refuse"
@@ -115,7 +115,7 @@
     idle_limit: float = Field(default=86_400.0, gt=0)
     commit_wait: float = Field(default=0.0, ge=0)
     start_wait: float = Field(default=30.0, gt=0)
-    log_away: WhenLogIsAway = WhenLogIsAway.REFUSE
+    log_away: LogOutagePolicy = LogOutagePolicy.REFUSE
 
 
 class Document(Options):
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..config.documents import PolicySpecification, TargetType, WhenLogIsAway
+from ..config.documents import LogOutagePolicy, PolicySpecification, TargetType
 from ..errors import ErrorKind, Failure, FailureError, NotRun, fail
 from ..ids import AttemptId, RecordId, TargetName, new_id
 from ..records.acceptance import Refusal
@@ -143,7 +143,7 @@
     def _patience(self, request: CallRequest) -> float:
         """Return the seconds that an intent may wait for the log."""
         policy = self._parts.homes.policy(request.spec)
-        if policy.log_away is WhenLogIsAway.WAIT:
+        if policy.log_away is LogOutagePolicy.WAIT:
             return min(request.deadline, policy.service_timeout)
         return self._parts.limits.submit_timeout
 
