--- a/sequoiaarch/config/store.py
+++ b/sequoiaarch/config/store.py
@@ -40,7 +40,7 @@
     changes: list[Change]
 
 
-class Versioned(msgspec.Struct, frozen=True, kw_only=True):
+class VersionedDocument(msgspec.Struct, frozen=True, kw_only=True):
     """Hold a document with its version, the place of its publication."""
 
     version: int
@@ -52,7 +52,7 @@
 
     id: RecordId
     as_of: Offset
-    documents: dict[str, Versioned]
+    documents: dict[str, VersionedDocument]
 
 
 ConfigRecord = Publication | ConfigSnapshot
@@ -94,7 +94,7 @@
     """
 
     def __init__(self) -> None:
-        self._versions: dict[str, Versioned] = {}
+        self._versions: dict[str, VersionedDocument] = {}
         self._documents: dict[str, AnyDocument] = {}
         self._history: list[PublishVerdict] = []
         self._seen: dict[RecordId, PublishVerdict] = {}
@@ -225,7 +225,7 @@
             return
         self._newest = offset
         for change in record.changes:
-            entry = Versioned(version=offset + 1, document=change.document)
+            entry = VersionedDocument(version=offset + 1, document=change.document)
             self._versions[change.key] = entry
             self._parse(change.key, change.document)
 
--- a/sequoiaarch/gateway/operators.py
+++ b/sequoiaarch/gateway/operators.py
@@ -11,7 +11,7 @@
 from werkzeug.wrappers import Request, Response
 
 from ..config.documents import TargetDocument
-from ..config.store import Change, Publication, PublishVerdict, Versioned
+from ..config.store import Change, Publication, PublishVerdict, VersionedDocument
 from ..daemon.base import Core
 from ..errors import ErrorKind, Failure, FailureError, fail
 from ..ids import ProgramId, RecordId
@@ -76,7 +76,7 @@
     """Show the documents in force with their versions."""
 
     version: int
-    documents: dict[str, Versioned]
+    documents: dict[str, VersionedDocument]
 
 
 class PublicationList(msgspec.Struct, frozen=True, kw_only=True):
