--- a/sequoiaarch/config/follower.py
+++ b/sequoiaarch/config/follower.py
@@ -140,7 +140,7 @@
         assert verdict is not None
         return verdict
 
-    async def renew_if_due(self, records: int, seconds: float) -> None:
+    async def append_snapshot_if_due(self, records: int, seconds: float) -> None:
         """Append a snapshot before the log forgets what is in force."""
         now = asyncio.get_running_loop().time()
         end = self._view.next_offset
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -85,7 +85,7 @@
             local=core.local,
             shards=core.shards,
             mine=self._kept_shards,
-            renew_config=core.follower.renew_if_due,
+            renew_config=core.follower.append_snapshot_if_due,
             limits=core.settings.limits,
         )
 
