--- a/sequoiaarch/config/follower.py
+++ b/sequoiaarch/config/follower.py
@@ -63,7 +63,7 @@
         """Return the view that is kept up to date."""
         return self._view
 
-    async def ready(self) -> None:
+    async def wait_ready(self) -> None:
         """Wait until a configuration is known, from the log or from peers."""
         await self._read_once.wait()
 
--- a/sequoiaarch/gateway/gateway.py
+++ b/sequoiaarch/gateway/gateway.py
@@ -64,7 +64,7 @@
     async def start(self) -> None:
         """Answer probes at once, and callers when the configuration is known."""
         self._server.start()
-        await self._core.follower.ready()
+        await self._core.follower.wait_ready()
         self._started = True
         log.info("Gateway answers on port {}.", self.port)
 
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -173,7 +173,7 @@
 
     async def start(self) -> None:
         """Wait for the target's document, then take work."""
-        await self._core.follower.ready()
+        await self._core.follower.wait_ready()
         document = self._document()
         while document is None:
             log.warning("No Target document names {} yet.", self._target)
