--- a/sequoiaarch/bench/cost.py
+++ b/sequoiaarch/bench/cost.py
@@ -312,7 +312,7 @@
         "stand_in": {"answer_tokens": tokens},
     }
     headers = {"X-Program-Id": program}
-    answer = client.request("POST", "/v1/chat/completions", body, headers, patient=True)
+    answer = client.request("POST", "/v1/chat/completions", body, headers, retry=True)
     return answer["choices"][0]["message"]["content"]
 
 
--- a/sequoiaarch/bench/driver.py
+++ b/sequoiaarch/bench/driver.py
@@ -137,15 +137,13 @@
         if step.once:
             headers["X-Non-Idempotent"] = "true"
         path = f"/v1/programs/{self._program}/tools/{SERVICE}/run"
-        self._client.request(
-            "POST", path, {"delay": step.seconds}, headers, patient=True
-        )
+        self._client.request("POST", path, {"delay": step.seconds}, headers, retry=True)
         self._seq += 1
 
     def _end(self) -> None:
         path = f"/v1/programs/{self._program}"
         try:
-            self._client.request("DELETE", path, patient=True)
+            self._client.request("DELETE", path, retry=True)
         except (ClientError, urllib3.exceptions.HTTPError):
             # The answers were all there; the idle limit ends the program.
             self.result.problem = "could not be ended"
--- a/sequoiaarch/bench/fleet.py
+++ b/sequoiaarch/bench/fleet.py
@@ -289,7 +289,7 @@
             base = known.get(key, {}).get("version", 0)
             changes.append({"key": key, "base": base, "document": document})
         body = {"id": new_id("publication"), "author": "bench", "changes": changes}
-        verdict = operator.request("POST", "/v1/admin/config", body, patient=True)
+        verdict = operator.request("POST", "/v1/admin/config", body, retry=True)
         if wait_ready:
             for place in self._deployment.gateways:
                 self._wait_version(place.name, verdict["offset"] + 1)
--- a/sequoiaarch/client.py
+++ b/sequoiaarch/client.py
@@ -42,7 +42,7 @@
         body: object | None = None,
         headers: dict[str, str] | None = None,
         *,
-        patient: bool = False,
+        retry: bool = False,
     ) -> Any:
         """Send one request and return its JSON answer.
 
@@ -63,7 +63,7 @@
                 return answer
             wait = answer.get("retry_after")
             again = reply.status in RETRIED_STATUSES and answer.get("not_run") is True
-            if not patient or not again or attempt + 1 == TRIES:
+            if not retry or not again or attempt + 1 == TRIES:
                 raise ClientError(reply.status, answer)
             time.sleep(min(wait or 0.1, RETRY_WAIT_LIMIT))
         raise AssertionError("unreachable")
--- a/sequoiaarch/commands/config.py
+++ b/sequoiaarch/commands/config.py
@@ -104,9 +104,7 @@
         click.echo("publishing and reading back ...", err=True)
     body = {"id": new_id("publication"), "author": author, "changes": changes}
     verdict = connection.ask(
-        lambda: connection.client.request(
-            "POST", "/v1/admin/config", body, patient=True
-        )
+        lambda: connection.client.request("POST", "/v1/admin/config", body, retry=True)
     )
     keys = ", ".join(verdict["keys"])
     connection.show(verdict, [f"in force as version {verdict['offset'] + 1}: {keys}"])
--- a/sequoiaarch/samples/runner.py
+++ b/sequoiaarch/samples/runner.py
@@ -29,11 +29,11 @@
         body: dict[str, Any] = {"model": self._script.model}
         if self._script.budget is not None:
             body["budget"] = self._script.budget
-        program = self._client.request("POST", "/v1/programs", body, patient=True)
+        program = self._client.request("POST", "/v1/programs", body, retry=True)
         name = program["id"]
         self._say(f"{self._script.title}: program {name}")
         self._steps(name, self._script.steps, "")
-        final = self._client.request("DELETE", f"/v1/programs/{name}", patient=True)
+        final = self._client.request("DELETE", f"/v1/programs/{name}", retry=True)
         self._say(
             f"  ended, {final['committed_seq']} calls kept, "
             f"{final['spent']} of {final['budget']} tokens spent"
@@ -89,7 +89,7 @@
         if step.once:
             headers["X-Non-Idempotent"] = "true"
         path = f"/v1/programs/{program}/tools/{step.service}/{step.path}"
-        answer = self._client.request("POST", path, step.body, headers, patient=True)
+        answer = self._client.request("POST", path, step.body, headers, retry=True)
         kind = "non-idempotent tool" if step.once else "tool"
         self._say(f"{indent}  {kind} {step.service}/{step.path}: {answer}")
 
@@ -98,9 +98,9 @@
             "POST",
             f"/v1/programs/{program}/programs",
             {"budget": step.budget},
-            patient=True,
+            retry=True,
         )
         self._say(f"{indent}  sub-agent {child['id']} with {step.budget} tokens")
         self._steps(child["id"], step.steps, indent + "  ")
         path = f"/v1/programs/{child['id']}"
-        self._client.request("DELETE", path, patient=True)
+        self._client.request("DELETE", path, retry=True)
--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -509,7 +509,7 @@
         seq: int | None = None,
         tokens: int = 6,
         client: Client | None = None,
-        patient: bool = True,
+        retry: bool = True,
         **extra: Any,
     ) -> str:
         """Take one turn and return the answer."""
@@ -519,7 +519,7 @@
             "/v1/chat/completions",
             body,
             self.headers(seq),
-            patient=patient,
+            retry=retry,
         )
         content = answer["choices"][0]["message"]["content"]
         self.take(text, content)
--- a/sequoiaarch/tests/faults/limits_tests.py
+++ b/sequoiaarch/tests/faults/limits_tests.py
@@ -101,7 +101,7 @@
         queue = system.nodes["engine-1"].sidecar
         assert queue is not None
         wait_until(lambda: queue.load().queued == 1, "the queue is full")
-        body = self.refused(lambda: talks[2].say("three", patient=False))
+        body = self.refused(lambda: talks[2].say("three", retry=False))
         self.assertEqual((body["kind"], body["not_run"]), ("overloaded", True))
         self.assertTrue(first.result(60) and second.result(60))
 
@@ -116,7 +116,7 @@
         system = self.start(engines=1, limits=self.limits())
         talk = Conversation(client=system.client(), program="doubtful")
         system.platform.faults.delay = 1.0
-        body = self.refused(lambda: talk.say("hello", patient=False))
+        body = self.refused(lambda: talk.say("hello", retry=False))
         self.assertEqual((body["kind"], body["not_run"]), ("log_unavailable", True))
         system.platform.faults.delay = 0.0
         self.assertTrue(talk.say("hello"))
@@ -134,7 +134,7 @@
         talk.say("hello")
         system.platform.faults.delay = 1.0
         long = "a long text " * 400
-        body = self.refused(lambda: talk.say(long, patient=False))
+        body = self.refused(lambda: talk.say(long, retry=False))
         self.assertEqual((body["kind"], body["not_run"]), ("log_unavailable", True))
         system.platform.faults.delay = 0.0
         self.assertTrue(talk.say(long))
@@ -146,7 +146,7 @@
         talk = Conversation(client=system.client(), program="loop")
         for _ in range(3):
             talk.say("again")
-        body = self.refused(lambda: talk.say("again", patient=False))
+        body = self.refused(lambda: talk.say("again", retry=False))
         self.assertEqual(body["kind"], "program_limit")
 
     def test_abandoned_program_ends_and_frees(self) -> None:
@@ -165,7 +165,7 @@
         body: dict[str, Any] = {}
         for _ in range(12):
             try:
-                talk.say("spend", tokens=200, patient=False)
+                talk.say("spend", tokens=200, retry=False)
             except ClientError as error:
                 body = error.body
                 break
@@ -205,7 +205,7 @@
         body: dict[str, Any] = {}
         for number in range(50):
             try:
-                talk.say(f"during {number}", tokens=40, patient=False)
+                talk.say(f"during {number}", tokens=40, retry=False)
             except ClientError as error:
                 body = error.body
                 break
@@ -235,7 +235,7 @@
         def start(number: int) -> None:
             talk = Conversation(client=system.client(), program=f"new-{number}")
             try:
-                answers.append(talk.say("hello", tokens=12, patient=False))
+                answers.append(talk.say("hello", tokens=12, retry=False))
             except ClientError as error:
                 refusals.append(error.body)
 
--- a/sequoiaarch/tests/faults/scenario.py
+++ b/sequoiaarch/tests/faults/scenario.py
@@ -186,7 +186,7 @@
 
     def say_once(self, talk: Conversation, _: Client) -> str:
         """Take a turn of another program, without patience."""
-        return talk.say("filler", patient=False)
+        return talk.say("filler", retry=False)
 
     def kept_by(self, talk: Conversation, _: Client) -> list[dict[str, Any]]:
         """Return what the system keeps of a program."""
@@ -196,7 +196,7 @@
         """Let the other program go on."""
         name = self.gateways()[0]
         bystander.client = self.system.client(name, OTHER_KEY)
-        self.insist(lambda _: bystander.say("bystander two", patient=False))
+        self.insist(lambda _: bystander.say("bystander two", retry=False))
 
     def turn(
         self, text: str, moment: Moment | None, faults: dict[Moment, list[Fault]]
--- a/sequoiaarch/tests/gateway/app_tests.py
+++ b/sequoiaarch/tests/gateway/app_tests.py
@@ -185,7 +185,7 @@
         talk = self.converse("gap")
         talk.say("first", seq=1)
         with self.assertRaises(ClientError) as caught:
-            talk.say("third", seq=3, patient=False)
+            talk.say("third", seq=3, retry=False)
         self.check(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
         self.assertEqual(caught.exception.body["expected_seq"], 2)
 
@@ -193,7 +193,7 @@
         """Refuse another request under the number of an answered call."""
         self.converse("taken").say("one thing", seq=1)
         with self.assertRaises(ClientError) as caught:
-            self.converse("taken").say("another", seq=1, patient=False)
+            self.converse("taken").say("another", seq=1, retry=False)
         self.check(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
 
     def test_history_conflict(self) -> None:
@@ -202,7 +202,7 @@
         talk.say("first")
         talk.messages[0]["content"] = "never said"
         with self.assertRaises(ClientError) as caught:
-            talk.say("second", patient=False)
+            talk.say("second", retry=False)
         self.check(caught.exception, 409, "history_conflict", "messages")
 
     def test_another_workspace_sees_nothing(self) -> None:
@@ -269,7 +269,7 @@
         self.assertEqual(ended["state"], "ended")
         self.assertEqual(ended["reserved"], 0)
         with self.assertRaises(ClientError) as caught:
-            talk.say("too late", patient=False)
+            talk.say("too late", retry=False)
         self.assertEqual(caught.exception.body["kind"], "program_ended")
 
     def test_child_budget_moves_and_returns(self) -> None:
