--- a/sequoiaarch/errors.py
+++ b/sequoiaarch/errors.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answer:
+class ErrorResponse:
     """Describe the answer that one kind of error gets over HTTP."""
 
     status: int
@@ -58,35 +58,43 @@
     retry_after: float | None = None
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.MALFORMED: Answer(status=400, not_run=NotRun.YES),
-    ErrorKind.TOO_LARGE: Answer(status=413, not_run=NotRun.YES),
-    ErrorKind.UNAUTHORISED: Answer(status=401, not_run=NotRun.YES),
-    ErrorKind.NOT_FOUND: Answer(status=404, not_run=NotRun.YES),
-    ErrorKind.UNKNOWN_MODEL: Answer(status=404, not_run=NotRun.YES),
-    ErrorKind.UNKNOWN_SERVICE: Answer(status=404, not_run=NotRun.YES),
-    ErrorKind.HISTORY_CONFLICT: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.OUT_OF_SEQUENCE: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.KEY_CONFLICT: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.BUDGET_EXHAUSTED: Answer(status=402, not_run=NotRun.YES),
-    ErrorKind.PROGRAM_ENDED: Answer(status=410, not_run=NotRun.YES),
-    ErrorKind.PROGRAM_LIMIT: Answer(status=403, not_run=NotRun.YES),
-    ErrorKind.OVERLOADED: Answer(status=429, not_run=NotRun.YES, retry_after=1.0),
-    ErrorKind.STARTING: Answer(status=503, not_run=NotRun.YES, retry_after=0.3),
-    ErrorKind.STOPPING: Answer(status=503, not_run=NotRun.YES, retry_after=0.2),
-    ErrorKind.MOVED: Answer(status=503, not_run=NotRun.YES, retry_after=0.2),
-    ErrorKind.NO_TARGET: Answer(status=503, not_run=NotRun.YES, retry_after=1.0),
-    ErrorKind.LOG_UNAVAILABLE: Answer(status=503, not_run=NotRun.YES, retry_after=2.0),
-    ErrorKind.OUTDATED: Answer(status=503, not_run=NotRun.YES, retry_after=0.2),
-    ErrorKind.LIMIT_UNKNOWN: Answer(status=503, not_run=NotRun.YES, retry_after=0.3),
-    ErrorKind.SUPERSEDED: Answer(status=409, not_run=NotRun.NO, retry_after=0.2),
-    ErrorKind.INTERRUPTED: Answer(status=502, not_run=NotRun.NO, retry_after=0.2),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(status=502, not_run=NotRun.UNKNOWN),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(status=504, not_run=NotRun.UNKNOWN),
-    ErrorKind.TARGET_FAILED: Answer(status=502, not_run=NotRun.NO),
-    ErrorKind.CONFIG_INVALID: Answer(status=422, not_run=NotRun.YES),
-    ErrorKind.CONFIG_CONFLICT: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.INTERNAL: Answer(status=500, not_run=NotRun.UNKNOWN),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.MALFORMED: ErrorResponse(status=400, not_run=NotRun.YES),
+    ErrorKind.TOO_LARGE: ErrorResponse(status=413, not_run=NotRun.YES),
+    ErrorKind.UNAUTHORISED: ErrorResponse(status=401, not_run=NotRun.YES),
+    ErrorKind.NOT_FOUND: ErrorResponse(status=404, not_run=NotRun.YES),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(status=404, not_run=NotRun.YES),
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(status=404, not_run=NotRun.YES),
+    ErrorKind.HISTORY_CONFLICT: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.OUT_OF_SEQUENCE: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.KEY_CONFLICT: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.BUDGET_EXHAUSTED: ErrorResponse(status=402, not_run=NotRun.YES),
+    ErrorKind.PROGRAM_ENDED: ErrorResponse(status=410, not_run=NotRun.YES),
+    ErrorKind.PROGRAM_LIMIT: ErrorResponse(status=403, not_run=NotRun.YES),
+    ErrorKind.OVERLOADED: ErrorResponse(
+        status=429, not_run=NotRun.YES, retry_after=1.0
+    ),
+    ErrorKind.STARTING: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.3),
+    ErrorKind.STOPPING: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.2),
+    ErrorKind.MOVED: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.2),
+    ErrorKind.NO_TARGET: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=1.0),
+    ErrorKind.LOG_UNAVAILABLE: ErrorResponse(
+        status=503, not_run=NotRun.YES, retry_after=2.0
+    ),
+    ErrorKind.OUTDATED: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.2),
+    ErrorKind.LIMIT_UNKNOWN: ErrorResponse(
+        status=503, not_run=NotRun.YES, retry_after=0.3
+    ),
+    ErrorKind.SUPERSEDED: ErrorResponse(status=409, not_run=NotRun.NO, retry_after=0.2),
+    ErrorKind.INTERRUPTED: ErrorResponse(
+        status=502, not_run=NotRun.NO, retry_after=0.2
+    ),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(status=502, not_run=NotRun.UNKNOWN),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(status=504, not_run=NotRun.UNKNOWN),
+    ErrorKind.TARGET_FAILED: ErrorResponse(status=502, not_run=NotRun.NO),
+    ErrorKind.CONFIG_INVALID: ErrorResponse(status=422, not_run=NotRun.YES),
+    ErrorKind.CONFIG_CONFLICT: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.INTERNAL: ErrorResponse(status=500, not_run=NotRun.UNKNOWN),
 }
 
 
@@ -105,21 +113,21 @@
     expected_seq: int | None = None
 
     @property
-    def answer(self) -> Answer:
+    def response(self) -> ErrorResponse:
         """Return the answer of this kind."""
-        return ANSWERS[self.kind]
+        return ERROR_RESPONSES[self.kind]
 
     @property
     def run_state(self) -> NotRun:
         """Return whether the request was run."""
-        return self.not_run or self.answer.not_run
+        return self.not_run or self.response.not_run
 
     @property
-    def wait(self) -> float | None:
+    def retry_delay(self) -> float | None:
         """Return the seconds after which to ask again, if that helps."""
         if self.retry_after is not None:
             return self.retry_after
-        return self.answer.retry_after
+        return self.response.retry_after
 
     def before_dispatch(self) -> Failure:
         """Return this failure for a request that was not yet dispatched.
--- a/sequoiaarch/gateway/responses.py
+++ b/sequoiaarch/gateway/responses.py
@@ -65,7 +65,7 @@
 
 def error_response(failure: Failure) -> Response:
     """Return the answer that a failure gets."""
-    response = json_response(error_body(failure), failure.answer.status)
-    if failure.wait is not None:
-        response.headers["Retry-After"] = str(max(1, round(failure.wait)))
+    response = json_response(error_body(failure), failure.response.status)
+    if failure.retry_delay is not None:
+        response.headers["Retry-After"] = str(max(1, round(failure.retry_delay)))
     return response
--- a/sequoiaarch/home/answers.py
+++ b/sequoiaarch/home/answers.py
@@ -31,7 +31,7 @@
         reason=failure.reason,
         not_run=not_run,
         field=failure.field,
-        retry_after=failure.wait,
+        retry_after=failure.retry_delay,
         expected_seq=failure.expected_seq,
         error={
             "message": failure.reason,
@@ -45,4 +45,4 @@
 def error_answer(failure: Failure) -> CallAnswer:
     """Return the whole answer for a failure."""
     body = msgspec.json.encode(error_body(failure))
-    return CallAnswer(status=failure.answer.status, body=body)
+    return CallAnswer(status=failure.response.status, body=body)
--- a/sequoiaarch/ingress/handler.py
+++ b/sequoiaarch/ingress/handler.py
@@ -142,9 +142,9 @@
             }
         )
         attempt = request.info.attempt if request.info else AttemptId("")
-        headers = self._dispatcher.codec.failure_headers(attempt, failure.wait)
+        headers = self._dispatcher.codec.failure_headers(attempt, failure.retry_delay)
         try:
-            await reply.send_response(failure.answer.status, headers, body)
+            await reply.send_response(failure.response.status, headers, body)
         except ClientGone:
             request.outcome = CALLER_LEFT
 
--- a/sequoiaarch/tests/gateway/limits_tests.py
+++ b/sequoiaarch/tests/gateway/limits_tests.py
@@ -56,7 +56,7 @@
         self.assertTrue(refused)
         for error in refused:
             self.assertIs(error.failure.kind, ErrorKind.OVERLOADED)
-            self.assertGreater(error.failure.wait or 0.0, 0.0)
+            self.assertGreater(error.failure.retry_delay or 0.0, 0.0)
 
     def test_workspace_without_a_limit(self) -> None:
         """Refuse nothing of a workspace without a limit."""
--- a/sequoiaarch/tests/workspaces/access_tests.py
+++ b/sequoiaarch/tests/workspaces/access_tests.py
@@ -34,7 +34,9 @@
         try:
             self.access.identify(key, public=False)
         except FailureError as error:
-            self.assertTrue(error.failure.wait or error.failure.answer.status == 401)
+            self.assertTrue(
+                error.failure.retry_delay or error.failure.response.status == 401
+            )
             return error.failure.kind
         return None
 
@@ -42,7 +44,7 @@
         """Return the retry delay of a refused caller."""
         with self.assertRaises(FailureError) as caught:
             self.access.identify("k1", public=False)
-        return caught.exception.failure.wait
+        return caught.exception.failure.retry_delay
 
     def test_stale_keys_are_refused(self) -> None:
         """Refuse every key beyond the age limit, as it may have been revoked."""
--- a/sequoiaarch/tests/workspaces/tokens_tests.py
+++ b/sequoiaarch/tests/workspaces/tokens_tests.py
@@ -87,10 +87,10 @@
     def test_refusals(self) -> None:
         """Distinguish a reached limit from one whose owners can't be asked."""
         full = quota_failure(CALLER, Refusal(wait=0.7)).failure
-        self.assertEqual((full.answer.status, full.wait), (429, 0.7))
+        self.assertEqual((full.response.status, full.retry_delay), (429, 0.7))
         unknown = quota_failure(CALLER, Refusal(wait=0.3, kept=False)).failure
         self.assertIs(unknown.kind, ErrorKind.LIMIT_UNKNOWN)
-        self.assertEqual((unknown.answer.status, unknown.wait), (503, 0.3))
+        self.assertEqual((unknown.response.status, unknown.retry_delay), (503, 0.3))
 
 
 class TokenCacheTests(unittest.TestCase):
