--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -337,7 +337,7 @@
 
     def restart(self, name: str) -> Node:
         """Start a sidecar again at the address that it had."""
-        document = next(one for one in self.documents_in_force() if one.name == name)
+        document = next(one for one in self.known_targets() if one.name == name)
         node = self.add_sidecar(name, document.spec.address)
         self.start_sidecar(node)
         return node
@@ -352,7 +352,7 @@
 
     # Configuration.
 
-    def documents_in_force(self) -> list[Any]:
+    def known_targets(self) -> list[Any]:
         """Return the targets that the first gateway knows."""
         return next(iter(self.nodes.values())).core.catalogue.targets
 
--- a/sequoiaarch/tests/shards/retention_tests.py
+++ b/sequoiaarch/tests/shards/retention_tests.py
@@ -71,7 +71,7 @@
         self.fill()
         self.system.platform.faults.retention = KEPT
         names = list(self.system.nodes)
-        documents = {one.name: one for one in self.system.documents_in_force()}
+        documents = {one.name: one for one in self.system.known_targets()}
         for name in names:
             self.system.kill(name)
         for name, document in documents.items():
