--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -551,7 +551,7 @@
             "POST", f"/v1/programs/{self.program}/tools/tools/run", body or {}, found
         )
 
-    def kept(self) -> list[dict[str, Any]]:
+    def stored_messages(self) -> list[dict[str, Any]]:
         """Return the messages that the system keeps."""
         answer = self.client.request("GET", f"/v1/programs/{self.program}")
         return [message for entry in answer["history"] for message in entry["messages"]]
--- a/sequoiaarch/tests/faults/recovery_tests.py
+++ b/sequoiaarch/tests/faults/recovery_tests.py
@@ -30,9 +30,9 @@
         talk.client = system.client("gateway-2")
         wait_until(lambda: system.state("copied").seq == 2, "the turn is kept")
         talk.say("third", seq=3)
-        wait_until(lambda: len(talk.kept()) == 6, "all turns")
+        wait_until(lambda: len(talk.stored_messages()) == 6, "all turns")
         self.assertEqual(
-            [one["content"] for one in talk.kept()],
+            [one["content"] for one in talk.stored_messages()],
             [one["content"] for one in talk.messages],
         )
         router = system.nodes["gateway-1"].gateway
--- a/sequoiaarch/tests/faults/scenario.py
+++ b/sequoiaarch/tests/faults/scenario.py
@@ -190,7 +190,7 @@
 
     def kept_by(self, talk: Conversation, _: Client) -> list[dict[str, Any]]:
         """Return what the system keeps of a program."""
-        return talk.kept()
+        return talk.stored_messages()
 
     def bystander_turn(self, bystander: Conversation) -> None:
         """Let the other program go on."""
@@ -554,7 +554,8 @@
                 "all turns are kept",
             )
             kept = [
-                {"role": one["role"], "content": one["content"]} for one in talk.kept()
+                {"role": one["role"], "content": one["content"]}
+                for one in talk.stored_messages()
             ]
             if kept != talk.messages:
                 self.problems.append(f"{talk.program} keeps {kept}")
--- a/sequoiaarch/tests/gateway/app_tests.py
+++ b/sequoiaarch/tests/gateway/app_tests.py
@@ -65,7 +65,9 @@
             pieces = [chunk.choices[0].delta.content or "" for chunk in stream]
             self.assertGreater(len(pieces), 2)
             messages.append({"role": "assistant", "content": "".join(pieces)})
-        kept = Conversation(client=self.system.client(), program="streamed").kept
+        kept = Conversation(
+            client=self.system.client(), program="streamed"
+        ).stored_messages
         wait_until(lambda: len(kept()) == 6, "three commits")
         self.assertEqual(
             [one["content"] for one in kept()], [one["content"] for one in messages]
@@ -214,7 +216,7 @@
         self.assertEqual(caught.exception.status, 404)
         Conversation(client=other, program="mine").say("my own")
         wait_until(lambda: self.system.state("mine", "beta"), "own program")
-        kept = Conversation(client=other, program="mine").kept()
+        kept = Conversation(client=other, program="mine").stored_messages()
         self.assertEqual(kept[0]["content"], "my own")
 
     def test_too_large(self) -> None:
@@ -264,7 +266,7 @@
         made = client.request("POST", "/v1/programs", {"model": MODEL, "budget": 9000})
         talk = Conversation(client=client, program=made["id"])
         talk.say("hello")
-        wait_until(lambda: len(talk.kept()) == 2, "commit")
+        wait_until(lambda: len(talk.stored_messages()) == 2, "commit")
         ended = client.request("DELETE", f"/v1/programs/{made['id']}")
         self.assertEqual(ended["state"], "ended")
         self.assertEqual(ended["reserved"], 0)
@@ -284,7 +286,7 @@
         self.assertEqual(client.request("GET", path)["moved"], 20_000)
         talk = Conversation(client=client, program=child["id"])
         talk.say("work")
-        wait_until(lambda: len(talk.kept()) == 2, "commit")
+        wait_until(lambda: len(talk.stored_messages()) == 2, "commit")
         ended = client.request("DELETE", f"/v1/programs/{child['id']}")
         parent = client.request("GET", path)
         self.assertEqual(parent["moved"], 0)
--- a/sequoiaarch/tests/shards/retention_tests.py
+++ b/sequoiaarch/tests/shards/retention_tests.py
@@ -83,8 +83,8 @@
         again = talk.tool("slip", seq=2)
         self.assertEqual(again["run"], 1)
         self.assertEqual(self.system.executions()["slip"], 1)
-        wait_until(lambda: len(talk.kept()) == 4, "all turns")
+        wait_until(lambda: len(talk.stored_messages()) == 4, "all turns")
         self.assertEqual(
-            [one["content"] for one in talk.kept()],
+            [one["content"] for one in talk.stored_messages()],
             [one["content"] for one in talk.messages],
         )
