--- a/sequoiaarch/config/documents.py
+++ b/sequoiaarch/config/documents.py
@@ -1,4 +1,4 @@
-"""Declare the documents that operators publish: Program, Target and Policy."""
+"""Define the documents that operators publish: Program, Target and Policy."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from .validation import InvalidDocument, Options, Problem, validate
 
-NAME = r"^[a-z0-9][a-z0-9._-]*$"
+NAME_PATTERN = r"^[a-z0-9][a-z0-9._-]*$"
 
 
 class Kind(Enum):
-    """Name the kinds of document."""
+    """Kind of a document."""
 
     PROGRAM = "Program"
     TARGET = "Target"
@@ -21,14 +21,14 @@
 
 
 class TargetType(Enum):
-    """Say what stands behind a target."""
+    """Type of backend that a target serves."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class PlacementName(Enum):
-    """Name a way to choose the target of a call."""
+    """Placement policy: how the target of a call is chosen."""
 
     AFFINITY = "affinity"
     STICKY = "sticky"
@@ -37,35 +37,35 @@
 
 
 class OrderName(Enum):
-    """Name an order of the calls that wait at a target."""
+    """Scheduling order of the calls that are queued at a target."""
 
     ATTAINED = "attained"
     FIRST_COME = "first_come"
 
 
 class RetentionName(Enum):
-    """Name a way to decide what prefix memory is kept."""
+    """Retention policy: which prefixes stay in an engine's cache."""
 
     PREDICTED = "predicted"
     ENGINE = "engine"
 
 
 class AdmissionName(Enum):
-    """Name a way to decide which programs may start at a target."""
+    """Admission policy: which programs may start at a target."""
 
     WORKING_SET = "working_set"
     OPEN = "open"
 
 
 class LogOutagePolicy(Enum):
-    """Say what happens to non-idempotent calls while the log is away."""
+    """What happens to non-idempotent calls while the log is unavailable."""
 
     REFUSE = "refuse"
     WAIT = "wait"
 
 
 class ProgramSpecification(Options):
-    """Describe the programs of one workspace and model."""
+    """Specify the targets, services and limits of a workspace's programs."""
 
     workspace: str = Field(min_length=1)
     model: str = Field(min_length=1)
@@ -77,7 +77,7 @@
 
 
 class TargetSpecification(Options):
-    """Describe one target and where it is."""
+    """Specify the location and capacity of a target."""
 
     type: TargetType
     url: str = Field(pattern=r"^https?://")
@@ -102,7 +102,7 @@
 
 
 class PolicySpecification(Options):
-    """Set how programs are scheduled; times in seconds."""
+    """Specify how programs are scheduled; times in seconds."""
 
     placement: PlacementName = PlacementName.AFFINITY
     order: OrderName = OrderName.ATTAINED
@@ -119,15 +119,15 @@
 
 
 class Document(Options):
-    """Hold the part that all documents share."""
+    """Base of all documents."""
 
     kind: Kind
-    name: str = Field(pattern=NAME)
+    name: str = Field(pattern=NAME_PATTERN)
     labels: dict[str, str] = {}
 
     @property
     def key(self) -> str:
-        """Return the name under which versions are counted."""
+        """Return the key that identifies the document across versions."""
         return f"{self.kind.value}/{self.name}"
 
 
@@ -138,13 +138,13 @@
 
 
 class TargetDocument(Document):
-    """Announce a target."""
+    """Register a target."""
 
     spec: TargetSpecification
 
 
 class PolicyDocument(Document):
-    """Set the scheduling of all programs and targets that the selector names."""
+    """Set the scheduling of the programs and targets that the selector matches."""
 
     selector: dict[str, str] = {}
     spec: PolicySpecification = PolicySpecification()
@@ -160,12 +160,15 @@
 
 
 def matches(selector: dict[str, str], labels: dict[str, str]) -> bool:
-    """Return whether the labels hold all that the selector names."""
+    """Return whether the labels have every name and value of the selector."""
     return all(labels.get(name) == value for name, value in selector.items())
 
 
 def parse_document(value: Any, prefix: str = "") -> AnyDocument:
-    """Return one document, or raise with every problem found."""
+    """Parse one document.
+
+    Raises InvalidDocument with all problems.
+    """
     kind = value.get("kind") if isinstance(value, dict) else None
     names = [kind.value for kind in Kind]
     if kind not in names:
@@ -176,7 +179,10 @@
 
 
 def parse_documents(value: Any) -> list[AnyDocument]:
-    """Return all documents of a file, or raise with all problems of all."""
+    """Parse the documents of a file.
+
+    Raises InvalidDocument with the problems of all documents.
+    """
     values = value if isinstance(value, list) else [value]
     documents: list[AnyDocument] = []
     problems: list[Problem] = []
@@ -186,13 +192,13 @@
             documents.append(parse_document(entry, prefix))
         except InvalidDocument as error:
             problems.extend(error.problems)
-    problems.extend(_doubled(documents))
+    problems.extend(_find_duplicates(documents))
     if problems:
         raise InvalidDocument(problems)
     return documents
 
 
-def _doubled(documents: list[AnyDocument]) -> list[Problem]:
+def _find_duplicates(documents: list[AnyDocument]) -> list[Problem]:
     seen: set[str] = set()
     problems = []
     for document in documents:
--- a/sequoiaarch/config/follower.py
+++ b/sequoiaarch/config/follower.py
@@ -1,4 +1,4 @@
-"""Follow the configuration stream, and publish to it."""
+"""Follow the configuration stream and publish to it."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 log = logbook.Logger("config")
 
-STREAM = "config"
-READ_WAIT = 10.0
+CONFIG_STREAM = "config"
+LONG_POLL_TIMEOUT = 10.0
 READ_LIMIT = 256
-RETRY_FIRST = 0.1
-RETRY_LIMIT = 2.0
-PUBLISH_TRIES = 5
-PUBLISH_WAIT = 10.0
+MIN_RETRY_DELAY = 0.1
+MAX_RETRY_DELAY = 2.0
+MAX_PUBLISH_ATTEMPTS = 5
+VERDICT_TIMEOUT = 10.0
 
-AskPeers = Callable[[], Awaitable[list[ConfigSnapshot]]]
+FetchPeerSnapshots = Callable[[], Awaitable[list[ConfigSnapshot]]]
 
 
 class ConfigFollower:
     """Keep the view of the configuration up to date.
 
-    While the log is away, peers are asked for what they have accepted. A
-    view never goes back: what is older than it is ignored.
+    Fetches snapshots from peers while the log is unavailable. Snapshots older than
+    the view are ignored.
     """
 
     def __init__(
@@ -46,89 +46,88 @@
         *,
         log_service: AppendLog,
         view: ConfigView,
-        ask_peers: AskPeers,
+        ask_peers: FetchPeerSnapshots,
         metrics: Metrics,
     ) -> None:
         self._log = log_service
         self._view = view
         self._ask_peers = ask_peers
         self._metrics = metrics
-        self._advanced = asyncio.Condition()
-        self._read_once = asyncio.Event()
-        self._first = Offset(0)
-        self._renewed_at: float | None = None
+        self._view_changed = asyncio.Condition()
+        self._ready = asyncio.Event()
+        self._first_offset = Offset(0)
+        self._snapshot_at: float | None = None
 
     @property
     def view(self) -> ConfigView:
-        """Return the view that is kept up to date."""
+        """Return the view that is updated."""
         return self._view
 
     async def wait_ready(self) -> None:
         """Wait until a configuration is known, from the log or from peers."""
-        await self._read_once.wait()
+        await self._ready.wait()
 
     async def run(self) -> None:
-        """Read the stream for ever."""
-        delay = RETRY_FIRST
+        """Read the stream until cancelled."""
+        delay = MIN_RETRY_DELAY
         while True:
-            wait = READ_WAIT if self._read_once.is_set() else 0.0
+            wait = LONG_POLL_TIMEOUT if self._ready.is_set() else 0.0
             page = await self._log.read(
-                STREAM, self._view.next_offset, limit=READ_LIMIT, wait=wait
+                CONFIG_STREAM, self._view.next_offset, limit=READ_LIMIT, wait=wait
             )
             if isinstance(page, Failure):
-                await self._read_peers()
+                await self._adopt_from_peers()
                 await asyncio.sleep(delay * random.uniform(0.5, 1.0))
-                delay = min(delay * 2, RETRY_LIMIT)
+                delay = min(delay * 2, MAX_RETRY_DELAY)
                 continue
-            delay = RETRY_FIRST
-            self._first = page.first
+            delay = MIN_RETRY_DELAY
+            self._first_offset = page.first
             if page.start > self._view.next_offset:
                 self._view.start_at(page.start)
-            for place, data in enumerate(page.records):
-                self._view.apply(Offset(page.start + place), decode_config(data))
+            for index, data in enumerate(page.records):
+                self._view.apply(Offset(page.start + index), decode_config(data))
             if not self._view.complete:
-                await self._read_peers()
+                await self._adopt_from_peers()
             if self._view.next_offset >= page.end and self._view.complete:
-                self._read_once.set()
-            await self._announce()
+                self._ready.set()
+            await self._notify()
 
-    async def _read_peers(self) -> None:
+    async def _adopt_from_peers(self) -> None:
         before = self._view.next_offset
         for snapshot in await self._ask_peers():
             self._view.adopt(snapshot)
         if self._view.next_offset > before:
-            log.info("Took the configuration of a peer, up to {}.", before)
-            self._read_once.set()
-            await self._announce()
+            log.info("Adopted the configuration of a peer; offset was {}.", before)
+            self._ready.set()
+            await self._notify()
 
-    async def _announce(self) -> None:
+    async def _notify(self) -> None:
         self._metrics.config.set({}, self._view.newest)
-        async with self._advanced:
-            self._advanced.notify_all()
+        async with self._view_changed:
+            self._view_changed.notify_all()
 
     async def publish(self, publication: Publication) -> PublishVerdict | Failure:
-        """Append a publication and read back whether it is in force.
+        """Append a publication and read the verdict on it.
 
-        A lost reply is no reason to doubt: the same publication is appended
-        again, and its second copy counts for nothing.
+        Retries are safe: a duplicate has the same id and is ignored.
         """
         data = encode_config(publication)
         last: Failure | None = None
-        for _ in range(PUBLISH_TRIES):
-            offset = await self._log.append(STREAM, [data])
+        for _ in range(MAX_PUBLISH_ATTEMPTS):
+            offset = await self._log.append(CONFIG_STREAM, [data])
             if not isinstance(offset, Failure):
-                return await self._verdict(publication.id)
+                return await self._wait_verdict(publication.id)
             last = offset
-            await asyncio.sleep(RETRY_FIRST)
+            await asyncio.sleep(MIN_RETRY_DELAY)
             if self._view.verdict(publication.id) is not None:
-                return await self._verdict(publication.id)
+                return await self._wait_verdict(publication.id)
         assert last is not None
         return last
 
-    async def _verdict(self, record: RecordId) -> PublishVerdict | Failure:
+    async def _wait_verdict(self, record: RecordId) -> PublishVerdict | Failure:
         try:
-            async with asyncio.timeout(PUBLISH_WAIT), self._advanced:
-                await self._advanced.wait_for(
+            async with asyncio.timeout(VERDICT_TIMEOUT), self._view_changed:
+                await self._view_changed.wait_for(
                     lambda: self._view.verdict(record) is not None
                 )
         except TimeoutError:
@@ -141,17 +140,23 @@
         return verdict
 
     async def append_snapshot_if_due(self, records: int, seconds: float) -> None:
-        """Append a snapshot before the log forgets what is in force."""
+        """Append a snapshot before the log trims records that readers need.
+
+        Due after `records` further records, after `seconds`, or when the log is about
+        to trim the records.
+        """
         now = asyncio.get_running_loop().time()
         end = self._view.next_offset
-        if self._renewed_at is None:
-            self._renewed_at = now
-        nearing = self._first > 0 and self._view.oldest < self._first + max(
-            1, (end - self._first) // 4
+        if self._snapshot_at is None:
+            self._snapshot_at = now
+        near_trim = (
+            self._first_offset > 0
+            and self._view.oldest
+            < self._first_offset + max(1, (end - self._first_offset) // 4)
         )
-        old = self._view.oldest < end - records
-        if end and (nearing or old or now - self._renewed_at > seconds):
-            self._renewed_at = now
+        outdated = self._view.oldest < end - records
+        if end and (near_trim or outdated or now - self._snapshot_at > seconds):
+            self._snapshot_at = now
             snapshot = self._view.snapshot(RecordId(new_id("config")))
-            await self._log.append(STREAM, [encode_config(snapshot)])
-            log.info("The configuration was appended again.")
+            await self._log.append(CONFIG_STREAM, [encode_config(snapshot)])
+            log.info("Appended a snapshot of the configuration.")
--- a/sequoiaarch/config/settings.py
+++ b/sequoiaarch/config/settings.py
@@ -1,4 +1,4 @@
-"""Declare the settings of a daemon."""
+"""Define the settings of a daemon."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Role(Enum):
-    """Say what a daemon does."""
+    """Role of a daemon."""
 
     GATEWAY = "gateway"
     SIDECAR = "sidecar"
@@ -19,14 +19,14 @@
 
 
 class LogFormat(Enum):
-    """Say how log lines are written."""
+    """Format of log lines."""
 
     TEXT = "text"
     JSON = "json"
 
 
 class LogLevel(Enum):
-    """Say which log lines are written."""
+    """Lowest level that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -35,7 +35,7 @@
 
 
 class HttpOptions(Options):
-    """Set where HTTP is answered."""
+    """Configure the HTTP server; `max_body` is in bytes."""
 
     address: str = "127.0.0.1"
     port: int = Field(default=0, ge=0, le=65535)
@@ -44,7 +44,7 @@
 
 
 class CurveOptions(Options):
-    """Set the keys of the inner links, as Z85 text of 40 characters."""
+    """Configure the CURVE keys of internal links, Z85-encoded in 40 characters."""
 
     public: str = Field(min_length=40, max_length=40)
     secret: str = Field(min_length=40, max_length=40)
@@ -52,7 +52,7 @@
 
 
 class InnerOptions(Options):
-    """Set where the inner protocol is spoken."""
+    """Configure the internal protocol; `silence_limit` is in seconds."""
 
     address: str = "tcp://127.0.0.1:*"
     curve: CurveOptions | None = None
@@ -60,7 +60,7 @@
 
 
 class PlatformOptions(Options):
-    """Set where the platform's services are."""
+    """Configure the URLs of the platform's services."""
 
     log: str | None = None
     hosts: str | None = None
@@ -75,7 +75,7 @@
 
 
 class WorkspaceLimit(Options):
-    """Bound what the callers of a workspace may send through this daemon."""
+    """Limit the rate of requests from a workspace through this daemon."""
 
     workspace: str
     rate: float = Field(gt=0, description="requests a second")
@@ -83,14 +83,14 @@
 
 
 class LoggingOptions(Options):
-    """Set what is logged and how."""
+    """Configure the level and format of the logs."""
 
     level: LogLevel = LogLevel.INFO
     format: LogFormat = LogFormat.TEXT
 
 
 class LimitOptions(Options):
-    """Set the bounds of queues and buffers; times in seconds."""
+    """Configure the limits of queues, buffers and timeouts; times in seconds."""
 
     uncommitted_bytes: int = Field(default=64 * 1024 * 1024, ge=1024)
     queue_length: int = Field(default=512, ge=1)
@@ -103,17 +103,17 @@
     renew_after: int = Field(
         default=100_000,
         ge=16,
-        description="records after which a program is appended again",
+        description="records after which a snapshot of a program is appended",
     )
     renew_interval: float = Field(
         default=21_600.0,
         gt=0,
-        description="seconds after which a program is appended again",
+        description="seconds after which a snapshot of a program is appended",
     )
 
 
 class Settings(Options):
-    """Set everything that one daemon has to know at its start."""
+    """Settings of one daemon, read at its start."""
 
     role: Role
     host: str = Field(min_length=1)
@@ -139,12 +139,12 @@
             raise ValueError("role 'sidecar' needs 'target', the name of its target")
         if self.role is Role.GATEWAY and not self.callers:
             raise ValueError("role 'gateway' needs 'callers', at least one bearer key")
-        known = {caller.workspace for caller in self.callers}
-        held = {(caller.key, caller.workspace) for caller in self.callers}
-        if len(held) != len({key for key, _ in held}):
+        caller_workspaces = {caller.workspace for caller in self.callers}
+        key_pairs = {(caller.key, caller.workspace) for caller in self.callers}
+        if len(key_pairs) != len({key for key, _ in key_pairs}):
             raise ValueError("'callers' gives one key to two workspaces")
         for limit in self.workspace_limits:
-            if limit.workspace not in known:
+            if limit.workspace not in caller_workspaces:
                 raise ValueError(f"workspace {limit.workspace!r} has no caller")
         if self.role is not Role.STANDALONE and self.platform.log is None:
             raise ValueError(f"role {self.role.value!r} needs 'platform.log', a URL")
@@ -152,5 +152,8 @@
 
 
 def load_settings(path: Path) -> Settings:
-    """Return the settings that a file holds."""
+    """Load the settings from a file.
+
+    Raises InvalidDocument with all problems.
+    """
     return validate(Settings, load_jsonc(path))
--- a/sequoiaarch/config/store.py
+++ b/sequoiaarch/config/store.py
@@ -1,4 +1,7 @@
-"""Decide which publications are in force, alike at every reader."""
+"""Build the documents in force from the configuration stream.
+
+The result depends on the stream alone, so all readers agree.
+"""
 
 from __future__ import annotations
 
@@ -18,13 +21,13 @@
 )
 from .validation import InvalidDocument
 
-HISTORY_KEPT = 1024
+MAX_HISTORY = 1024
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
-    """Replace one document, or remove it where `document` is None.
+    """Replacement of one document, or its removal if `document` is None.
 
-    `base` is the version that the publisher saw; 0 where there was none.
+    `base` is the version that the publisher read, 0 if there was none.
     """
 
     key: str
@@ -33,7 +36,7 @@
 
 
 class Publication(msgspec.Struct, frozen=True, kw_only=True, tag="publication"):
-    """Change documents together or not at all."""
+    """Changes of documents that are applied atomically."""
 
     id: RecordId
     author: str
@@ -41,14 +44,14 @@
 
 
 class VersionedDocument(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a document with its version, the place of its publication."""
+    """A document and its version: the offset of its publication plus one."""
 
     version: int
     document: dict[str, Any] | None
 
 
 class ConfigSnapshot(msgspec.Struct, frozen=True, kw_only=True, tag="snapshot"):
-    """Stand for all records up to and with offset `as_of`."""
+    """State of the configuration after the record at offset `as_of`."""
 
     id: RecordId
     as_of: Offset
@@ -59,7 +62,7 @@
 
 
 class PublishVerdict(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell what became of a publication; `conflicts` explain a refusal."""
+    """Whether a publication was accepted; `conflicts` are the reasons if not."""
 
     id: RecordId
     offset: Offset
@@ -74,12 +77,12 @@
 
 
 def encode_config(record: ConfigRecord) -> bytes:
-    """Return the bytes of a configuration record."""
+    """Encode a configuration record."""
     return _ENCODER.encode(record)
 
 
 def decode_config(data: bytes) -> ConfigRecord | None:
-    """Return the record, or None where the bytes are none of ours."""
+    """Decode a configuration record; return None if the data is not valid."""
     try:
         return _DECODER.decode(data)
     except msgspec.DecodeError:
@@ -87,27 +90,28 @@
 
 
 class ConfigView:
-    """Fold the configuration stream into the documents that are in force.
+    """Apply the configuration stream to get the documents in force.
 
-    The first publication in log order wins; one that was based on an older
-    version of any of its documents is refused as a whole.
+    Uses optimistic concurrency control: a publication is rejected as a whole if one
+    of its changes is based on an outdated version. Of competing publications, the
+    first in log order wins.
     """
 
     def __init__(self) -> None:
         self._versions: dict[str, VersionedDocument] = {}
         self._documents: dict[str, AnyDocument] = {}
         self._history: list[PublishVerdict] = []
-        self._seen: dict[RecordId, PublishVerdict] = {}
-        self._next = Offset(0)
+        self._verdicts: dict[RecordId, PublishVerdict] = {}
+        self._next_offset = Offset(0)
         self._newest = Offset(-1)
         self._oldest = Offset(0)
         self._complete = True
-        self._early: list[tuple[Offset, ConfigRecord]] = []
+        self._buffered: list[tuple[Offset, ConfigRecord]] = []
 
     @property
     def next_offset(self) -> Offset:
         """Return the offset of the record that is read next."""
-        return self._next
+        return self._next_offset
 
     @property
     def newest(self) -> Offset:
@@ -116,12 +120,12 @@
 
     @property
     def oldest(self) -> Offset:
-        """Return the oldest offset that a new reader needs."""
+        """Return the first offset that a new reader has to read."""
         return self._oldest
 
     @property
     def complete(self) -> bool:
-        """Return whether nothing is missing from the beginning."""
+        """Return whether the view reflects all records before `next_offset`."""
         return self._complete
 
     @property
@@ -135,81 +139,84 @@
         return self._history
 
     def version(self, key: str) -> int:
-        """Return the version of a document, 0 where there is none."""
+        """Return the version of a document, 0 if it was never published."""
         entry = self._versions.get(key)
         return entry.version if entry else 0
 
     def verdict(self, record: RecordId) -> PublishVerdict | None:
-        """Return the verdict on a publication that was read."""
-        return self._seen.get(record)
+        """Return the verdict on a publication, or None if it was not read yet."""
+        return self._verdicts.get(record)
 
     def start_at(self, first: Offset) -> None:
-        """Begin at the oldest offset that the log still keeps."""
-        if first <= self._next:
+        """Continue at the first offset that the log still retains.
+
+        The view is incomplete until a snapshot covers the skipped records.
+        """
+        if first <= self._next_offset:
             return
-        self._next = first
+        self._next_offset = first
         self._complete = False
 
     def apply(self, offset: Offset, record: ConfigRecord | None) -> None:
-        """Fold one record in."""
-        if offset < self._next:
+        """Apply the record at an offset; None if it could not be decoded."""
+        if offset < self._next_offset:
             return
-        self._next = Offset(offset + 1)
+        self._next_offset = Offset(offset + 1)
         if record is None:
             return
         if not self._complete:
-            self._early.append((offset, record))
+            self._buffered.append((offset, record))
         if isinstance(record, ConfigSnapshot):
-            self._adopt(record)
+            self._adopt_from_log(record)
             if self._complete:
                 self._oldest = Offset(max(self._oldest, record.as_of + 1))
         elif self._complete:
-            self._publish(offset, record)
+            self._apply_publication(offset, record)
 
     def adopt(self, snapshot: ConfigSnapshot) -> None:
-        """Take a peer's snapshot where it is ahead of this view."""
-        if snapshot.as_of >= self._next:
-            self._replace(snapshot)
-            self._early = []
-            self._next = Offset(snapshot.as_of + 1)
+        """Replace the documents by a peer's snapshot if it is newer."""
+        if snapshot.as_of >= self._next_offset:
+            self._replace_documents(snapshot)
+            self._buffered = []
+            self._next_offset = Offset(snapshot.as_of + 1)
 
     def snapshot(self, record: RecordId) -> ConfigSnapshot:
-        """Return a snapshot of what is in force."""
-        as_of = Offset(self._next - 1)
+        """Return a snapshot of the documents in force."""
+        as_of = Offset(self._next_offset - 1)
         return ConfigSnapshot(id=record, as_of=as_of, documents=self._versions)
 
-    def _adopt(self, snapshot: ConfigSnapshot) -> None:
-        if self._complete or not self._early:
+    def _adopt_from_log(self, snapshot: ConfigSnapshot) -> None:
+        if self._complete or not self._buffered:
             return
-        if snapshot.as_of + 1 < self._early[0][0]:
-            # Publications between the snapshot and the first record that was
-            # read may be gone; a later snapshot will stand for them.
+        if snapshot.as_of + 1 < self._buffered[0][0]:
+            # Records between the snapshot and the first buffered record may have
+            # been trimmed; only a later snapshot covers them.
             return
-        early = self._early
-        self._early = []
-        self._replace(snapshot)
-        for offset, record in early:
+        buffered = self._buffered
+        self._buffered = []
+        self._replace_documents(snapshot)
+        for offset, record in buffered:
             if offset > snapshot.as_of and isinstance(record, Publication):
-                self._publish(offset, record)
+                self._apply_publication(offset, record)
 
-    def _replace(self, snapshot: ConfigSnapshot) -> None:
+    def _replace_documents(self, snapshot: ConfigSnapshot) -> None:
         self._complete = True
         self._versions = dict(snapshot.documents)
         versions = [entry.version for entry in self._versions.values()]
         self._newest = Offset(max(versions, default=0) - 1)
         self._documents = {}
         for key, entry in self._versions.items():
-            self._parse(key, entry.document)
+            self._set_document(key, entry.document)
 
-    def _parse(self, key: str, value: dict[str, Any] | None) -> None:
+    def _set_document(self, key: str, value: dict[str, Any] | None) -> None:
         self._documents.pop(key, None)
         if value is not None:
             self._documents[key] = parse_document(value)
 
-    def _publish(self, offset: Offset, record: Publication) -> None:
-        if record.id in self._seen:
+    def _apply_publication(self, offset: Offset, record: Publication) -> None:
+        if record.id in self._verdicts:
             return
-        conflicts = self._conflicts(record)
+        conflicts = self._find_conflicts(record)
         verdict = PublishVerdict(
             id=record.id,
             offset=offset,
@@ -218,18 +225,18 @@
             conflicts=conflicts,
             keys=[change.key for change in record.changes],
         )
-        self._seen[record.id] = verdict
+        self._verdicts[record.id] = verdict
         self._history.append(verdict)
-        del self._history[:-HISTORY_KEPT]
+        del self._history[:-MAX_HISTORY]
         if conflicts:
             return
         self._newest = offset
         for change in record.changes:
             entry = VersionedDocument(version=offset + 1, document=change.document)
             self._versions[change.key] = entry
-            self._parse(change.key, change.document)
+            self._set_document(change.key, change.document)
 
-    def _conflicts(self, record: Publication) -> list[str]:
+    def _find_conflicts(self, record: Publication) -> list[str]:
         found = []
         for change in record.changes:
             current = self.version(change.key)
@@ -239,22 +246,22 @@
                     f"but version {current} is in force"
                 )
             if change.document is not None:
-                found.extend(_invalid(change))
+                found.extend(_document_conflicts(change))
         return found
 
 
-def _invalid(change: Change) -> list[str]:
+def _document_conflicts(change: Change) -> list[str]:
     try:
         document = parse_document(change.document)
     except InvalidDocument as error:
         return [f"{change.key}: {problem}" for problem in error.problems]
     if document.key != change.key:
-        return [f"{change.key}: the document calls itself {document.key}"]
+        return [f"{change.key}: the key of the document is {document.key}"]
     return []
 
 
 class Catalogue:
-    """Answer questions about the documents in force."""
+    """Look up the documents in force."""
 
     def __init__(self, *, view: ConfigView) -> None:
         self._view = view
@@ -280,17 +287,17 @@
         return sorted(found, key=lambda document: document.name)
 
     def target(self, name: str) -> TargetDocument | None:
-        """Return the target of a name."""
+        """Return the target with the name."""
         document = self._view.documents.get(f"Target/{name}")
         return document if isinstance(document, TargetDocument) else None
 
     def program(self, name: str) -> ProgramDocument | None:
-        """Return the program of a name."""
+        """Return the program with the name."""
         document = self._view.documents.get(f"Program/{name}")
         return document if isinstance(document, ProgramDocument) else None
 
     def program_for(self, workspace: str, model: str) -> ProgramDocument | None:
-        """Return the first program of a workspace that uses a model."""
+        """Return the workspace's first program with the model; "" means any model."""
         for document in self.programs:
             spec = document.spec
             if spec.workspace == workspace and model in ("", spec.model):
@@ -298,17 +305,21 @@
         return None
 
     def policy_for(self, labels: dict[str, str]) -> PolicySpecification:
-        """Return the policy whose selector names most of the labels."""
+        """Return the matching policy with the most specific selector.
+
+        Ties go to the last name in sorting order. Returns the defaults if no policy
+        matches.
+        """
         best: PolicyDocument | None = None
         for document in self._view.documents.values():
             if not isinstance(document, PolicyDocument):
                 continue
             if not matches(document.selector, labels):
                 continue
-            if best is None or _rank(document) > _rank(best):
+            if best is None or _specificity(document) > _specificity(best):
                 best = document
         return best.spec if best else PolicySpecification()
 
 
-def _rank(document: PolicyDocument) -> tuple[int, str]:
+def _specificity(document: PolicyDocument) -> tuple[int, str]:
     return len(document.selector), document.name
--- a/sequoiaarch/config/validation.py
+++ b/sequoiaarch/config/validation.py
@@ -1,4 +1,4 @@
-"""Report every error of a document at once, in the words of its author."""
+"""Validate documents and report all errors with their paths."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 from rapidfuzz import process
 
-NEAR_ENOUGH = 70.0
+MIN_SIMILARITY = 70.0
 
 
 class Options(BaseModel):
-    """Be the base of all declared options; unknown names are refused."""
+    """Base of all option classes; rejects unknown names."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
 
 
 class Problem(msgspec.Struct, frozen=True, kw_only=True):
-    """Name one place in a document and what is expected there."""
+    """An error in a document: the path of the option and the reason."""
 
     path: str
     reason: str
@@ -30,7 +30,7 @@
 
 
 class InvalidDocument(Exception):
-    """Carry all problems of a document."""
+    """Raised with all problems of a document."""
 
     def __init__(self, problems: list[Problem]) -> None:
         super().__init__("; ".join(str(problem) for problem in problems))
@@ -41,7 +41,7 @@
 
 
 def parse_jsonc(text: str, source: str) -> Any:
-    """Return the value of a JSON text that may hold comments."""
+    """Parse JSON text with comments; `source` names it in errors."""
     try:
         return json5.loads(text)
     except ValueError as error:
@@ -49,7 +49,7 @@
 
 
 def load_jsonc(path: Path) -> Any:
-    """Return the value of a file of JSON with comments."""
+    """Parse a file of JSON with comments."""
     try:
         text = path.read_text("utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -58,19 +58,22 @@
 
 
 def validate(kind: type[OptionsT], value: Any, prefix: str = "") -> OptionsT:
-    """Return the typed options, or raise with every problem found."""
+    """Validate options of the kind; `prefix` is prepended to the paths of errors.
+
+    Raises InvalidDocument with all problems.
+    """
     try:
         return kind.model_validate(value)
     except ValidationError as error:
-        problems = [_problem(kind, entry, prefix) for entry in error.errors()]
+        problems = [_to_problem(kind, entry, prefix) for entry in error.errors()]
         raise InvalidDocument(problems) from None
 
 
-def _problem(kind: type[BaseModel], entry: Any, prefix: str) -> Problem:
+def _to_problem(kind: type[BaseModel], entry: Any, prefix: str) -> Problem:
     location = entry["loc"]
     path = ".".join([prefix] * bool(prefix) + [str(part) for part in location])
     if entry["type"] == "extra_forbidden":
-        return Problem(path=path, reason=_unknown(kind, location))
+        return Problem(path=path, reason=_unknown_option_reason(kind, location))
     if entry["type"] == "missing":
         return Problem(path=path, reason="is missing; a value is required")
     given = repr(entry["input"])
@@ -80,29 +83,29 @@
     return Problem(path=path, reason=f"{message}; given {given}")
 
 
-def _unknown(kind: type[BaseModel], location: tuple[Any, ...]) -> str:
-    names = _names_at(kind, location[:-1])
-    match = process.extractOne(str(location[-1]), names, score_cutoff=NEAR_ENOUGH)
+def _unknown_option_reason(kind: type[BaseModel], location: tuple[Any, ...]) -> str:
+    names = _option_names(kind, location[:-1])
+    match = process.extractOne(str(location[-1]), names, score_cutoff=MIN_SIMILARITY)
     if match is not None:
         return f"is not an option; did you mean {match[0]!r}?"
     return f"is not an option; known are {', '.join(sorted(names))}"
 
 
-def _names_at(kind: type[BaseModel], location: tuple[Any, ...]) -> list[str]:
+def _option_names(kind: type[BaseModel], location: tuple[Any, ...]) -> list[str]:
     current: Any = kind
     for part in location:
         fields = getattr(current, "model_fields", {})
         if part not in fields:
             continue
-        current = _model_in(fields[part].annotation)
+        current = _find_model(fields[part].annotation)
     return list(getattr(current, "model_fields", {}))
 
 
-def _model_in(annotation: Any) -> Any:
+def _find_model(annotation: Any) -> Any:
     if hasattr(annotation, "model_fields"):
         return annotation
     for argument in getattr(annotation, "__args__", ()):
-        found = _model_in(argument)
+        found = _find_model(argument)
         if found is not None:
             return found
     return None
--- a/sequoiaarch/tests/config/__init__.py
+++ b/sequoiaarch/tests/config/__init__.py
@@ -1,1 +1,1 @@
-"""Test package config."""
+"""Tests of the config package."""
--- a/sequoiaarch/tests/config/store_tests.py
+++ b/sequoiaarch/tests/config/store_tests.py
@@ -1,4 +1,4 @@
-"""Test that every reader of the configuration decides alike."""
+"""Test that all readers of the configuration stream agree on the documents in force."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     return Publication(id=RecordId(f"p{number}"), author="test", changes=[change])
 
 
-def read(log: list[ConfigRecord], first: int = 0) -> ConfigView:
-    """Return the view of a reader that begins at an offset."""
+def read_log(log: list[ConfigRecord], first: int = 0) -> ConfigView:
+    """Return the view of a reader that starts at an offset."""
     view = ConfigView()
     view.start_at(Offset(first))
     for offset in range(first, len(log)):
@@ -47,20 +47,16 @@
     return view
 
 
-class RaceTests(unittest.TestCase):
-    """Let operators race."""
+class PublicationTests(unittest.TestCase):
+    """Apply conflicting, duplicate and invalid publications."""
 
     def test_first_in_log_order_wins(self) -> None:
-        """Accept one of two publications that saw the same version.
-
-        Two operators read version 0 and publish. The second in log order is
-        refused as a whole and told why; every reader agrees.
-        """
+        """Accept only the first of two publications based on the same version."""
         log: list[ConfigRecord] = [
             publication(1, "one", 0, 0.1),
             publication(2, "one", 0, 0.9),
         ]
-        view = read(log)
+        view = read_log(log)
         first, second = view.history
         self.assertTrue(first.accepted)
         self.assertFalse(second.accepted)
@@ -69,56 +65,56 @@
             Catalogue(view=view).policy_for({"team": "one"}).latency_weight, 0.1
         )
 
-    def test_all_or_nothing(self) -> None:
-        """Put no part of a refused publication in force."""
+    def test_publication_is_atomic(self) -> None:
+        """Reject all changes of a publication if one of them conflicts."""
         stale = Change(key="Policy/one", base=0, document=policy("one", 0.9))
         fresh = Change(key="Policy/two", base=0, document=policy("two", 0.9))
         both = Publication(id=RecordId("b"), author="x", changes=[fresh, stale])
-        view = read([publication(1, "one", 0, 0.1), both])
+        view = read_log([publication(1, "one", 0, 0.1), both])
         self.assertNotIn("Policy/two", view.documents)
 
-    def test_copy_after_a_lost_reply(self) -> None:
-        """Count a publication once that was appended twice."""
+    def test_duplicate_publication(self) -> None:
+        """Apply a publication once that was appended twice after a lost reply."""
         one = publication(1, "one", 0, 0.1)
-        view = read([one, one])
+        view = read_log([one, one])
         self.assertEqual(len(view.history), 1)
         self.assertEqual(view.version("Policy/one"), 1)
 
     def test_invalid_document_changes_nothing(self) -> None:
-        """Refuse what no reader could use, with all reasons."""
-        bad = {"kind": "Policy", "name": "one", "spec": {"latency_weight": 7}}
-        change = Change(key="Policy/one", base=0, document=bad)
-        view = read([Publication(id=RecordId("b"), author="x", changes=[change])])
+        """Reject a publication with an invalid document and report the reason."""
+        invalid = {"kind": "Policy", "name": "one", "spec": {"latency_weight": 7}}
+        change = Change(key="Policy/one", base=0, document=invalid)
+        view = read_log([Publication(id=RecordId("b"), author="x", changes=[change])])
         self.assertFalse(view.history[0].accepted)
         self.assertIn("latency_weight", view.history[0].conflicts[0])
 
-    def test_removal(self) -> None:
-        """Remove a document and keep its version counting."""
-        gone = Change(key="Policy/one", base=1, document=None)
-        view = read(
+    def test_removed_document_keeps_its_version(self) -> None:
+        """Remove a document and reject a later change based on its removed version."""
+        removal = Change(key="Policy/one", base=1, document=None)
+        view = read_log(
             [
                 publication(1, "one", 0, 0.1),
-                Publication(id=RecordId("r"), author="x", changes=[gone]),
+                Publication(id=RecordId("r"), author="x", changes=[removal]),
                 publication(2, "one", 0, 0.5),
             ]
         )
         self.assertNotIn("Policy/one", view.documents)
         self.assertFalse(view.history[-1].accepted)
 
-    def test_peer_never_takes_back(self) -> None:
-        """Ignore a peer that knows less."""
+    def test_older_peer_snapshot_is_ignored(self) -> None:
+        """Ignore a peer's snapshot that is older than the view."""
         log: list[ConfigRecord] = [publication(1, "one", 0, 0.1)]
-        old = read(log).snapshot(RecordId("s"))
+        old = read_log(log).snapshot(RecordId("s"))
         log.append(publication(2, "one", 1, 0.9))
-        view = read(log)
+        view = read_log(log)
         view.adopt(old)
         self.assertEqual(view.newest, 1)
-        behind = read(log[:1])
-        behind.adopt(read(log).snapshot(RecordId("t")))
+        behind = read_log(log[:1])
+        behind.adopt(read_log(log).snapshot(RecordId("t")))
         self.assertEqual(behind.newest, 1)
 
     def test_codec(self) -> None:
-        """Decode what was encoded, and nothing else."""
+        """Decode an encoded publication, and None from invalid data."""
         one = publication(1, "one", 0, 0.1)
         self.assertEqual(decode_config(encode_config(one)), one)
         self.assertIsNone(decode_config(b"\xc1"))
@@ -135,32 +131,34 @@
 
 
 class LateReaderTests(unittest.TestCase):
-    """Begin to read after the log has forgotten the beginning."""
+    """Start to read after the first records of the log were trimmed."""
 
     @settings(max_examples=200, deadline=None, derandomize=True, database=None)
     @given(steps=STEPS, cut=st.integers(1, 15))
-    def test_nothing_false_is_ever_in_force(self, steps: list[Any], cut: int) -> None:
-        """Agree with an old reader, or know that something is missing."""
+    def test_late_reader_agrees_or_is_incomplete(
+        self, steps: list[Any], cut: int
+    ) -> None:
+        """Agree with a reader of the whole log, or report an incomplete view."""
         log: list[ConfigRecord] = []
-        held: ConfigSnapshot | None = None
+        held_back: ConfigSnapshot | None = None
         for number, step in enumerate(steps):
-            view = read(log)
+            view = read_log(log)
             if step == "junk":
                 log.append(publication(number, "one", 999, 0.5))
             elif step == "snapshot":
                 log.append(view.snapshot(RecordId(f"s{number}")))
             elif step == "late snapshot":
-                if held is not None:
-                    log.append(held)
-                held = view.snapshot(RecordId(f"s{number}"))
+                if held_back is not None:
+                    log.append(held_back)
+                held_back = view.snapshot(RecordId(f"s{number}"))
             else:
                 name, stale = step
                 base = 0 if stale else view.version(f"Policy/{name}")
                 log.append(publication(number, name, base, number / 100))
         cut = min(cut, len(log) - 1)
-        late = read(log, cut)
-        if not late.complete:
+        late_reader = read_log(log, cut)
+        if not late_reader.complete:
             return
-        old = read(log)
-        self.assertEqual(late.documents, old.documents)
-        self.assertEqual(late.newest, old.newest)
+        old = read_log(log)
+        self.assertEqual(late_reader.documents, old.documents)
+        self.assertEqual(late_reader.newest, old.newest)
