--- a/sequoiaarch/commands/__init__.py
+++ b/sequoiaarch/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold a module for each command of the command line."""
+"""Commands of the command line, one module each."""
--- a/sequoiaarch/commands/base.py
+++ b/sequoiaarch/commands/base.py
@@ -1,4 +1,4 @@
-"""Share what the commands need: connection, output and exit codes."""
+"""Connection, output and exit codes of the commands."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ExitCode(IntEnum):
-    """List the exit codes of all commands."""
+    """Exit codes of all commands."""
 
     DONE = 0
     REFUSED = 1
@@ -29,7 +29,7 @@
 
 
 class Connection:
-    """Hold how to reach a gateway and how to print."""
+    """Connection to a gateway and the format of the output."""
 
     def __init__(self, *, url: str, key: str, as_json: bool) -> None:
         self.as_json = as_json
@@ -40,10 +40,10 @@
         """Return the client of the gateway."""
         return self._client
 
-    def ask(self, work: Callable[[], T]) -> T:
-        """Run a request, or exit with the reason why it failed."""
+    def ask(self, request: Callable[[], T]) -> T:
+        """Send a request and return its result; print an error and exit if it fails."""
         try:
-            return work()
+            return request()
         except ClientError as error:
             if self.as_json:
                 click.echo(msgspec.json.encode(error.body).decode())
@@ -54,11 +54,11 @@
             sys.exit(ExitCode.UNREACHABLE)
 
     def get(self, path: str) -> Any:
-        """Get a JSON answer."""
+        """Send a GET request and return the JSON body of the response."""
         return self.ask(lambda: self._client.request("GET", path))
 
     def show(self, value: Any, lines: list[str]) -> None:
-        """Print an answer for a machine or a person."""
+        """Print the value as JSON if that was asked for, or else the lines."""
         if self.as_json:
             click.echo(msgspec.json.encode(value).decode())
             return
@@ -70,7 +70,7 @@
 
 
 def json_option(command: Callable[..., Any]) -> Callable[..., Any]:
-    """Add the option that asks for JSON."""
+    """Add the `--json` option to a command."""
 
     def set_json(context: click.Context, _: click.Parameter, value: bool) -> None:
         if value:
@@ -86,33 +86,33 @@
 
 
 def fail_invalid(source: str, error: InvalidDocument) -> NoReturn:
-    """Print every problem of a document and exit."""
+    """Print all problems of a document and exit."""
     for problem in error.problems:
         click.echo(f"{source}: {problem}", err=True)
     sys.exit(ExitCode.INVALID)
 
 
 def read_documents(paths: tuple[Path, ...]) -> list[AnyDocument]:
-    """Return the documents of all files, or exit with every problem."""
-    found: list[AnyDocument] = []
+    """Return the documents of all files, or print all problems and exit."""
+    documents: list[AnyDocument] = []
     failed = False
     for path in paths:
         try:
-            found.extend(parse_documents(load_jsonc(path)))
+            documents.extend(parse_documents(load_jsonc(path)))
         except InvalidDocument as error:
             failed = True
             for problem in error.problems:
                 click.echo(f"{path}: {problem}", err=True)
     if failed:
         sys.exit(ExitCode.INVALID)
-    return found
+    return documents
 
 
 def table(rows: list[list[str]]) -> list[str]:
-    """Return rows as lines with aligned columns."""
+    """Format rows as lines with aligned columns."""
     if not rows:
         return []
-    widths = [max(len(row[place]) for row in rows) for place in range(len(rows[0]))]
+    widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     lines = []
     for row in rows:
         cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
--- a/sequoiaarch/commands/config.py
+++ b/sequoiaarch/commands/config.py
@@ -1,4 +1,4 @@
-"""Validate, compare, publish and show configuration."""
+"""Commands that validate, compare, publish and show configuration."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
     lines: list[str] = []
     changed = []
     for document in documents:
-        found = _diff(document, current)
-        lines.extend(found)
-        if found:
+        document_diff = _diff(document, current)
+        lines.extend(document_diff)
+        if document_diff:
             changed.append(document.key)
     connection.show({"changed": changed, "diff": lines}, lines or ["no change"])
 
@@ -74,7 +74,7 @@
         {
             "key": document.key,
             "base": current.get(document.key, {}).get("version", 0),
-            "document": _plain(document),
+            "document": _to_json(document),
         }
         for document in documents
     ]
@@ -141,22 +141,24 @@
     """Show the latest publications and what became of them."""
     answer = connection.get("/v1/admin/config/history")
     lines = []
-    for one in answer["publications"]:
-        verdict = "accepted" if one["accepted"] else "refused"
-        keys = ", ".join(one["keys"])
-        lines.append(f"{one['offset'] + 1}  {verdict}  {one['author']}  {keys}")
-        lines.extend(f"    {conflict}" for conflict in one["conflicts"])
+    for publication in answer["publications"]:
+        verdict = "accepted" if publication["accepted"] else "refused"
+        keys = ", ".join(publication["keys"])
+        lines.append(
+            f"{publication['offset'] + 1}  {verdict}  {publication['author']}  {keys}"
+        )
+        lines.extend(f"    {conflict}" for conflict in publication["conflicts"])
     connection.show(answer, lines)
 
 
-def _plain(document: AnyDocument) -> Any:
+def _to_json(document: AnyDocument) -> Any:
     return document.model_dump(mode="json", exclude_none=True, exclude_unset=True)
 
 
 def _diff(document: AnyDocument, current: dict[str, Any]) -> list[str]:
     before = current.get(document.key, {}).get("document")
     old = json.dumps(before, indent=2, sort_keys=True) if before else ""
-    new = json.dumps(_plain(document), indent=2, sort_keys=True)
+    new = json.dumps(_to_json(document), indent=2, sort_keys=True)
     return list(
         difflib.unified_diff(
             old.splitlines(),
--- a/sequoiaarch/commands/drain.py
+++ b/sequoiaarch/commands/drain.py
@@ -1,4 +1,4 @@
-"""Drain a target, or let it take work again."""
+"""Command that drains a target or undoes the drain."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from .base import Connection, json_option, pass_connection
 
-POLL = 0.3
+POLL_INTERVAL = 0.3
 
 
 @click.command()
@@ -26,14 +26,14 @@
     deadline = time.monotonic() + (0 if undo else wait)
     while time.monotonic() < deadline:
         load = answer["load"] or {}
-        left = load.get("running", 0) + load.get("queued", 0)
-        if left + load.get("programs", 0) == 0:
+        remaining = load.get("running", 0) + load.get("queued", 0)
+        if remaining + load.get("programs", 0) == 0:
             break
         if not connection.as_json:
-            text = f"{load.get('programs', 0)} programs and {left} calls are left"
+            text = f"{load.get('programs', 0)} programs and {remaining} calls are left"
             click.echo(text, err=True)
-        time.sleep(POLL)
-        found = connection.get("/v1/admin/targets")["targets"]
-        answer = next(one for one in found if one["name"] == target)
+        time.sleep(POLL_INTERVAL)
+        targets = connection.get("/v1/admin/targets")["targets"]
+        answer = next(one for one in targets if one["name"] == target)
     state = "takes work" if undo else "is drained or draining"
     connection.show(answer, [f"{target} {state}"])
--- a/sequoiaarch/commands/failures.py
+++ b/sequoiaarch/commands/failures.py
@@ -1,4 +1,4 @@
-"""Show failed requests by cause and time, from the logs of gateways."""
+"""Command that counts failed requests in the logs of gateways."""
 
 from __future__ import annotations
 
@@ -49,24 +49,24 @@
     total = f"{len(requests)} requests, {failed} failed"
     if by is not None:
         groups = group_failures(requests, Grouping(by))
-        connection.show(groups, [*_groups(groups), total])
+        connection.show(groups, [*_group_lines(groups), total])
         return
     rows = count_failures(requests, span)
-    connection.show(rows, [*_table(rows), total])
+    connection.show(rows, [*_row_lines(rows), total])
 
 
-def _groups(rows: list[GroupRow]) -> list[str]:
-    heads = ("first", "final", "failed", "gateways", "programs", "last")
-    lines = [" ".join(f"{head:>8}" for head in heads) + "  group (example)"]
+def _group_lines(rows: list[GroupRow]) -> list[str]:
+    headings = ("first", "final", "failed", "gateways", "programs", "last")
+    lines = [" ".join(f"{head:>8}" for head in headings) + "  group (example)"]
     for row in rows:
         counts = (row.requests, row.gateways, row.programs, row.last)
-        spans = f"{row.first:8.1f} {row.final:8.1f}"
+        period = f"{row.first:8.1f} {row.final:8.1f}"
         numbers = " ".join(f"{count:8}" for count in counts)
-        lines.append(f"{spans} {numbers}  {row.group} ({row.example})")
+        lines.append(f"{period} {numbers}  {row.group} ({row.example})")
     return lines
 
 
-def _table(rows: list[FailureRow]) -> list[str]:
+def _row_lines(rows: list[FailureRow]) -> list[str]:
     lines = [
         f"{'second':>8} {'failed':>6} {'programs':>8} {'last':>4}  cause (example)"
     ]
--- a/sequoiaarch/commands/program.py
+++ b/sequoiaarch/commands/program.py
@@ -1,4 +1,4 @@
-"""Show, explain and end programs."""
+"""Commands that show, explain and end programs."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
     """Show each decision for a program, with its reason."""
     answer = connection.get(f"/v1/admin/programs/{name}/explain")
     rows = []
-    for one in answer["decisions"]:
-        at = datetime.fromtimestamp(one["at"], UTC).strftime("%H:%M:%S.%f")[:-3]
-        rows.append([at, one["part"], one["choice"], one["reason"]])
+    for decision in answer["decisions"]:
+        time = datetime.fromtimestamp(decision["at"], UTC).strftime("%H:%M:%S.%f")[:-3]
+        rows.append([time, decision["part"], decision["choice"], decision["reason"]])
     connection.show(answer, table(rows) or ["no decision is remembered"])
 
 
--- a/sequoiaarch/commands/status.py
+++ b/sequoiaarch/commands/status.py
@@ -1,4 +1,4 @@
-"""Show how a gateway sees the system."""
+"""Command that shows the state of the system as seen by a gateway."""
 
 from __future__ import annotations
 
--- a/sequoiaarch/commands/targets.py
+++ b/sequoiaarch/commands/targets.py
@@ -1,4 +1,4 @@
-"""Show the targets and their load."""
+"""Command that shows the targets and their load."""
 
 from __future__ import annotations
 
@@ -14,19 +14,19 @@
     """Show the targets and their load."""
     answer = connection.get("/v1/admin/targets")
     rows = [["TARGET", "DATA CENTRE", "HOST", "SERVES", "STATE", "RUNNING", "QUEUED"]]
-    for one in answer["targets"]:
-        load = one["load"] or {}
-        state = "takes work" if one["takes_work"] else "avoided"
+    for entry in answer["targets"]:
+        load = entry["load"] or {}
+        state = "takes work" if entry["takes_work"] else "avoided"
         if load.get("draining"):
             state = "draining"
-        if not one["answers"]:
+        if not entry["answers"]:
             state = "silent"
         rows.append(
             [
-                one["name"],
-                one["data_centre"],
-                one["host"],
-                one["model"] or one["service"] or "",
+                entry["name"],
+                entry["data_centre"],
+                entry["host"],
+                entry["model"] or entry["service"] or "",
                 state,
                 f"{load.get('running', '-')}/{load.get('slots', '-')}",
                 str(load.get("queued", "-")),
--- a/sequoiaarch/tests/commands/__init__.py
+++ b/sequoiaarch/tests/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Test package commands."""
+"""Tests of the commands package."""
--- a/sequoiaarch/tests/commands/cli_tests.py
+++ b/sequoiaarch/tests/commands/cli_tests.py
@@ -16,17 +16,17 @@
 
 
 class CommandTests(SystemTestCase):
-    """Operate a system."""
+    """Run the commands of operators."""
 
     def invoke(self, *arguments: str, key: str = OPERATOR_KEY) -> Result:
-        """Run a command."""
+        """Run a command against the first gateway."""
         gateway = self.system.nodes["gateway-1"].gateway
         assert gateway is not None
         url = f"http://127.0.0.1:{gateway.port}"
         return CliRunner().invoke(cli, ["--url", url, "--key", key, *arguments])
 
     def as_json(self, *arguments: str) -> Any:
-        """Return what a command prints for machines."""
+        """Run a command with `--json` and return its output."""
         result = self.invoke(*arguments, "--json")
         self.assertEqual(result.exit_code, 0, result.output)
         return json.loads(result.stdout)
@@ -40,7 +40,7 @@
         return str(path)
 
     def test_publish_show_history(self) -> None:
-        """Publish, see the difference, show it, and lose a race."""
+        """Compare, publish, show and remove a document, and list the publications."""
         document = {"kind": "Policy", "name": "cli", "selector": {"a": "b"}}
         path = self.write(document)
         self.assertIn("+", self.invoke("config", "diff", path).output)
@@ -53,11 +53,11 @@
         self.assertEqual(history[-1]["keys"], ["Policy/cli"])
         removed = self.as_json("config", "remove", "Policy/cli")
         self.assertTrue(removed["accepted"])
-        gone = self.invoke("config", "show", "Policy/cli")
-        self.assertEqual(gone.exit_code, ExitCode.REFUSED)
+        removed_document = self.invoke("config", "show", "Policy/cli")
+        self.assertEqual(removed_document.exit_code, ExitCode.REFUSED)
 
-    def test_validate_reports_all(self) -> None:
-        """Print every problem and exit as documented."""
+    def test_validate_reports_all_problems(self) -> None:
+        """Print all problems and exit with INVALID."""
         path = self.write([{"kind": "Policy", "name": "P!"}, {"kind": "No"}])
         result = self.invoke("config", "validate", path)
         self.assertEqual(result.exit_code, ExitCode.INVALID)
@@ -65,9 +65,9 @@
         self.assertIn("[1].kind", result.output)
 
     def test_status_and_targets(self) -> None:
-        """Show the system."""
+        """Show the number of targets and their names."""
         self.assertEqual(self.as_json("status")["targets"], 3)
-        names = [one["name"] for one in self.as_json("targets")["targets"]]
+        names = [entry["name"] for entry in self.as_json("targets")["targets"]]
         self.assertEqual(names, ["engine-1", "engine-2", "tools-1"])
 
     def test_drain_and_undo(self) -> None:
@@ -78,38 +78,38 @@
         self.as_json("drain", "engine-2", "--undo")
         wait_until(
             lambda: all(
-                one["takes_work"] for one in self.as_json("targets")["targets"]
+                entry["takes_work"] for entry in self.as_json("targets")["targets"]
             ),
             "work is taken again",
         )
 
     def test_program(self) -> None:
         """Show, explain and end a program."""
-        talk = self.converse("shown")
-        talk.say("hello")
+        conversation = self.converse("shown")
+        conversation.say("hello")
         wait_until(lambda: self.system.state("shown").seq == 1, "commit")
         name = "alpha:shown"
         self.assertEqual(self.as_json("program", "show", name)["seq"], 1)
         decisions = self.as_json("program", "explain", name)["decisions"]
-        self.assertIn("placement", [one["part"] for one in decisions])
+        self.assertIn("placement", [entry["part"] for entry in decisions])
         ended = self.as_json("program", "end", name)
         self.assertIn("operator", ended["ended"])
 
     def test_exit_codes(self) -> None:
-        """Exit as documented."""
+        """Exit with the code for a rejected request or an unreachable gateway."""
         refused = self.invoke("status", key="no-such-key")
         self.assertEqual(refused.exit_code, ExitCode.REFUSED)
         unknown = self.invoke("program", "show", "alpha:none")
         self.assertEqual(unknown.exit_code, ExitCode.REFUSED)
-        nobody = CliRunner().invoke(cli, ["--url", "http://127.0.0.1:1", "status"])
-        self.assertEqual(nobody.exit_code, ExitCode.UNREACHABLE)
+        unreachable = CliRunner().invoke(cli, ["--url", "http://127.0.0.1:1", "status"])
+        self.assertEqual(unreachable.exit_code, ExitCode.UNREACHABLE)
 
     def test_daemon_check(self) -> None:
-        """Validate settings without starting."""
-        good = self.write({"role": "standalone", "host": "h", "data_centre": "d"})
-        result = CliRunner().invoke(daemon, ["--settings", good, "--check"])
+        """Validate the settings of a daemon without starting it."""
+        valid = self.write({"role": "standalone", "host": "h", "data_centre": "d"})
+        result = CliRunner().invoke(daemon, ["--settings", valid, "--check"])
         self.assertEqual(result.exit_code, 0, result.output)
-        bad = self.write({"role": "standalone", "hos": "h"})
-        result = CliRunner().invoke(daemon, ["--settings", bad, "--check"])
+        invalid = self.write({"role": "standalone", "hos": "h"})
+        result = CliRunner().invoke(daemon, ["--settings", invalid, "--check"])
         self.assertEqual(result.exit_code, ExitCode.INVALID)
         self.assertIn("did you mean 'host'?", result.output)
