--- a/sequoiaarch/__main__.py
+++ b/sequoiaarch/__main__.py
@@ -1,4 +1,4 @@
-"""Offer the commands for operators and callers."""
+"""Command line for operators and callers."""
 
 from __future__ import annotations
 
--- a/sequoiaarch/client.py
+++ b/sequoiaarch/client.py
@@ -1,4 +1,4 @@
-"""Call a gateway, as callers and operators do."""
+"""HTTP client of a gateway, for callers and operators."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 CONNECT_TIMEOUT = 3.0
 READ_TIMEOUT = 120.0
-TRIES = 6
-RETRIED_STATUSES = {429, 503}
-RETRY_WAIT_LIMIT = 2.0
+MAX_ATTEMPTS = 6
+RETRYABLE_STATUSES = {429, 503}
+MAX_RETRY_DELAY = 2.0
 
 
 class ClientError(Exception):
-    """Carry the error that a gateway answered with."""
+    """Raised for an error response of a gateway, with its status and JSON body."""
 
     def __init__(self, status: int, body: dict[str, Any]) -> None:
         super().__init__(f"{body.get('kind', status)}: {body.get('reason', '')}")
@@ -26,7 +26,7 @@
 
 
 class Client:
-    """Send requests to a gateway with one bearer key."""
+    """Send requests to a gateway, authorised by a bearer key."""
 
     def __init__(self, *, url: str, key: str, connections: int = 16) -> None:
         self._url = url.rstrip("/")
@@ -44,35 +44,40 @@
         *,
         retry: bool = False,
     ) -> Any:
-        """Send one request and return its JSON answer.
+        """Send a request and return the JSON body of the response.
 
-        A patient client asks again when it is told that its request was not
-        run and that asking later helps.
+        With `retry`, requests that the gateway rejected as not run with status 429 or
+        503 are sent again after its `retry_after`. Raises ClientError.
         """
         data = None if body is None else msgspec.json.encode(body)
-        for attempt in range(TRIES):
-            reply = self._pool.request(
+        for attempt in range(MAX_ATTEMPTS):
+            response = self._pool.request(
                 method,
                 self._url + path,
                 body=data,
                 headers={**self._headers, **(headers or {})},
                 timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT, read=READ_TIMEOUT),
             )
-            answer = _decode(reply.data)
-            if reply.status < 300:
+            answer = _decode(response.data)
+            if response.status < 300:
                 return answer
-            wait = answer.get("retry_after")
-            again = reply.status in RETRIED_STATUSES and answer.get("not_run") is True
-            if not retry or not again or attempt + 1 == TRIES:
-                raise ClientError(reply.status, answer)
-            time.sleep(min(wait or 0.1, RETRY_WAIT_LIMIT))
+            retry_after = answer.get("retry_after")
+            retryable = (
+                response.status in RETRYABLE_STATUSES and answer.get("not_run") is True
+            )
+            if not retry or not retryable or attempt + 1 == MAX_ATTEMPTS:
+                raise ClientError(response.status, answer)
+            time.sleep(min(retry_after or 0.1, MAX_RETRY_DELAY))
         raise AssertionError("unreachable")
 
     def stream(
         self, path: str, body: object, headers: dict[str, str] | None = None
     ) -> Iterator[dict[str, Any]]:
-        """Send one request and yield the events of its answer."""
-        reply = self._pool.request(
+        """Send a request and yield the server-sent events of the response.
+
+        Raises ClientError for an error event or a stream that ends early.
+        """
+        response = self._pool.request(
             "POST",
             self._url + path,
             body=msgspec.json.encode(body),
@@ -80,12 +85,12 @@
             timeout=urllib3.Timeout(connect=CONNECT_TIMEOUT, read=READ_TIMEOUT),
             preload_content=False,
         )
-        if reply.status >= 300:
-            raise ClientError(reply.status, _decode(reply.read()))
+        if response.status >= 300:
+            raise ClientError(response.status, _decode(response.read()))
         ended = False
         buffer = b""
-        for piece in reply.stream(None):
-            buffer += piece
+        for chunk in response.stream(None):
+            buffer += chunk
             while b"\n\n" in buffer:
                 event, buffer = buffer.split(b"\n\n", 1)
                 if event == b"data: [DONE]":
@@ -95,9 +100,11 @@
                     if "kind" in payload:
                         raise ClientError(200, payload)
                     yield payload
-        reply.release_conn()
+        response.release_conn()
         if not ended:
-            raise ClientError(200, {"kind": "interrupted", "reason": "no end"})
+            raise ClientError(
+                200, {"kind": "interrupted", "reason": "stream ended early"}
+            )
 
 
 def _decode(data: bytes) -> dict[str, Any]:
--- a/sequoiaarch/errors.py
+++ b/sequoiaarch/errors.py
@@ -1,4 +1,4 @@
-"""Hold the closed list of error kinds and the answer that each one gets."""
+"""Define the kinds of error and the HTTP response of each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NotRun(Enum):
-    """Say whether the request that failed was run."""
+    """Whether it is certain that a failed request was not run, so may be repeated."""
 
     YES = "true"
     NO = "false"
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(Enum):
-    """List every kind of error that a caller or operator can see."""
+    """Kinds of error that callers and operators can see."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class ErrorResponse:
-    """Describe the answer that one kind of error gets over HTTP."""
+    """HTTP response of a kind of error; `retry_after` is in seconds."""
 
     status: int
     not_run: NotRun
@@ -99,10 +99,9 @@
 
 
 class Failure(msgspec.Struct, frozen=True, kw_only=True):
-    """Stand in for a result that could not be had, with the reason.
+    """Returned in place of a result, with the kind of error and its reason.
 
-    `not_run` and `retry_after` (seconds) override the table where the part
-    that failed knows better than the kind does.
+    `not_run` and `retry_after` (seconds) override the defaults of the kind.
     """
 
     kind: ErrorKind
@@ -114,17 +113,17 @@
 
     @property
     def response(self) -> ErrorResponse:
-        """Return the answer of this kind."""
+        """Return the HTTP response of this kind of error."""
         return ERROR_RESPONSES[self.kind]
 
     @property
     def run_state(self) -> NotRun:
-        """Return whether the request was run."""
+        """Return whether it is certain that the request was not run."""
         return self.not_run or self.response.not_run
 
     @property
     def retry_delay(self) -> float | None:
-        """Return the seconds after which to ask again, if that helps."""
+        """Return the seconds until a retry, or None if a retry is of no use."""
         if self.retry_after is not None:
             return self.retry_after
         return self.response.retry_after
@@ -132,15 +131,14 @@
     def before_dispatch(self) -> Failure:
         """Return this failure for a request that was not yet dispatched.
 
-        A record that the log may or may not have taken leaves its own fate in
-        doubt, not the request's: told that it may have run, callers gave up on
-        calls that they could have repeated.
+        Such a request was certainly not run, even if it is unknown whether a record
+        about it was appended to the log.
         """
         return msgspec.structs.replace(self, not_run=NotRun.YES)
 
 
 class FailureError(Exception):
-    """Carry a failure up to the place that answers the request."""
+    """Raised to end a request with a failure."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(f"{failure.kind.value}: {failure.reason}")
@@ -148,5 +146,5 @@
 
 
 def fail(kind: ErrorKind, reason: str, **details: object) -> FailureError:
-    """Return an exception that carries a failure of the kind."""
+    """Return an exception for a failure of the kind, to be raised by the caller."""
     return FailureError(Failure(kind=kind, reason=reason, **details))  # type: ignore[arg-type]
--- a/sequoiaarch/ids.py
+++ b/sequoiaarch/ids.py
@@ -1,4 +1,4 @@
-"""Name the kinds of identifier that pass between parts."""
+"""Types of identifiers that are used across packages."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 
 def new_id(prefix: str) -> str:
-    """Return a fresh random identifier that starts with the prefix."""
+    """Return a new random identifier with the prefix."""
     return f"{prefix}-{secrets.token_hex(RANDOM_ID_BYTES)}"
 
 
 def root_of(program: ProgramId) -> ProgramId:
-    """Return the root program of a program, which may be itself."""
+    """Return the root of a program's tree of sub-agents; a root returns itself."""
     return ProgramId(program.split(CHILD_SEPARATOR, 1)[0])
--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -1,4 +1,4 @@
-"""Build whole systems for tests: real sockets, small stand-ins."""
+"""Run complete systems in tests, with real sockets and stand-ins for backends."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 
 T = TypeVar("T")
 
-GENEROUS = 60.0
-POLL = 0.005
+TIMEOUT = 60.0
+POLL_INTERVAL = 0.005
 CALLER_KEY = "caller-key"
 OTHER_KEY = "other-caller-key"
 OPERATOR_KEY = "operator-key"
@@ -51,29 +51,29 @@
 OTHER_WORKSPACE = "beta"
 MODEL = "stand-in"
 SHARDS = 2
-LEFT_BEHIND: list[asyncio.Task[Any]] = []
+ABANDONED_TASKS: list[asyncio.Task[Any]] = []
 FAST_ENGINE = EngineOptions(
     step=0.0005, step_share=0.0, load_lag=0.01, event_lag=0.01, prefill_rate=1e6
 )
 
 
 def wait_until(condition: Callable[[], Any], what: str) -> Any:
-    """Wait until a condition holds and return its value."""
-    deadline = time.monotonic() + GENEROUS
+    """Poll until a condition is true and return its value; `what` describes it."""
+    deadline = time.monotonic() + TIMEOUT
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > deadline:
-            raise AssertionError(f"never came: {what}")
-        time.sleep(POLL)
+            raise AssertionError(f"timed out waiting for: {what}")
+        time.sleep(POLL_INTERVAL)
 
 
 class GatedLog:
-    """Stand between one process and the log, to cut or hold it alone.
+    """Client of the log whose requests can be blocked or made to fail.
 
-    While `held`, requests wait as those of a paused process do; while `cut`,
-    they fail as on a broken network.
+    After `hold()`, requests wait until `release()`. While `cut`, all requests fail;
+    while `cut_appends`, only appends do.
     """
 
     def __init__(self, *, log: HttpLog) -> None:
@@ -84,15 +84,15 @@
         self.cut_appends = False
 
     def hold(self) -> None:
-        """Make requests wait."""
+        """Block all requests."""
         self._open.clear()
 
     def release(self) -> None:
-        """Let waiting requests go on."""
+        """Unblock all requests."""
         self._open.set()
 
     async def append(self, stream: str, records: list[bytes]) -> Offset | Failure:
-        """Append, or wait, or fail."""
+        """Append to a stream, unless blocked or cut."""
         await self._open.wait()
         if self.cut or self.cut_appends:
             return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="cut by the test")
@@ -101,7 +101,7 @@
     async def read(
         self, stream: str, start: Offset, *, limit: int, wait: float
     ) -> Page | Failure:
-        """Read, or wait, or fail."""
+        """Read a stream, unless blocked or cut."""
         await self._open.wait()
         if self.cut:
             return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="cut by the test")
@@ -109,7 +109,7 @@
 
 
 class LoopThread:
-    """Run one event loop in a thread, as a process would; it can be frozen."""
+    """Run an event loop in a thread to simulate a process; it can be paused."""
 
     def __init__(self, *, name: str) -> None:
         self._loop = asyncio.new_event_loop()
@@ -122,15 +122,15 @@
         self._loop.run_forever()
 
     def submit(self, work: Coroutine[Any, Any, T]) -> Future[T]:
-        """Start a coroutine in the loop."""
+        """Start a coroutine in the loop and return its future."""
         return asyncio.run_coroutine_threadsafe(work, self._loop)
 
     def wait(self, work: Coroutine[Any, Any, T]) -> T:
-        """Run a coroutine in the loop."""
-        return self.submit(work).result(GENEROUS)
+        """Run a coroutine in the loop and return its result."""
+        return self.submit(work).result(TIMEOUT)
 
     def call(self, work: Callable[[], T]) -> T:
-        """Run a plain function in the loop."""
+        """Call a function in the loop and return its result."""
 
         async def run() -> T:
             return work()
@@ -138,7 +138,7 @@
         return self.wait(run())
 
     def freeze(self) -> None:
-        """Stop everything in the loop where it stands, as SIGSTOP does."""
+        """Block the loop, as SIGSTOP pauses a process."""
         frozen = threading.Event()
         thaw = threading.Event()
         self._thaw = thaw
@@ -148,25 +148,26 @@
             thaw.wait()
 
         self._loop.call_soon_threadsafe(block)
-        frozen.wait(GENEROUS)
+        frozen.wait(TIMEOUT)
 
     def thaw(self) -> None:
-        """Go on, as SIGCONT does."""
+        """Unblock the loop, as SIGCONT resumes a process."""
         if self._thaw is not None:
             self._thaw.set()
             self._thaw = None
 
     def end(self) -> None:
-        """Stop the loop for good."""
-        # Tasks of a killed process must not run again, not even to clean up.
-        LEFT_BEHIND.extend(asyncio.all_tasks(self._loop))
+        """Stop the loop and its thread."""
+        # References keep the tasks from being collected, which would run their
+        # cleanup code: a killed process runs none.
+        ABANDONED_TASKS.extend(asyncio.all_tasks(self._loop))
         self._loop.call_soon_threadsafe(self._loop.stop)
-        self._thread.join(GENEROUS)
+        self._thread.join(TIMEOUT)
 
 
 @dataclass(kw_only=True)
 class Node:
-    """Hold one process of the system under test."""
+    """A simulated process of the system: a sidecar or a gateway."""
 
     name: str
     core: Core
@@ -178,7 +179,7 @@
 
 
 class SystemUnderTest:
-    """Run gateways, sidecars and stand-ins; kill, cut and drain them."""
+    """Run gateways, sidecars and stand-ins for the platform, engines and services."""
 
     def __init__(
         self,
@@ -213,7 +214,7 @@
     # Starting and stopping.
 
     def start(self) -> SystemUnderTest:
-        """Start everything and wait until calls are taken."""
+        """Start all processes and wait until they accept calls."""
         for stand_in in self._stand_ins():
             stand_in.start()
         for name in [*self._engine_names, *self._service_names]:
@@ -229,7 +230,7 @@
         return self
 
     def stop(self) -> None:
-        """Stop everything at once."""
+        """Kill all processes and stop the stand-ins."""
         for name in list(self.nodes):
             self.kill(name)
         for stand_in in self._stand_ins():
@@ -238,14 +239,14 @@
     def _stand_ins(self) -> list[StandIn]:
         return [self.platform, *self.engines, *self.services]
 
-    def settings(self, role: Role, name: str, inner: str) -> Settings:
+    def settings(self, role: Role, name: str, inner_address: str) -> Settings:
         """Return the settings of one process."""
         return Settings(
             role=role,
             host=f"host-{name}",
             data_centre="here",
             target=name if role is Role.SIDECAR else None,
-            inner=InnerOptions(address=inner, silence_limit=1.5),
+            inner=InnerOptions(address=inner_address, silence_limit=1.5),
             platform=PlatformOptions(log=self.platform.url, hosts=self.platform.url),
             callers=[
                 Caller(key=CALLER_KEY, workspace=WORKSPACE),
@@ -273,12 +274,12 @@
         )
         return core, log
 
-    def add_sidecar(self, name: str, inner: str) -> Node:
-        """Start a sidecar's process; it waits for its document."""
+    def add_sidecar(self, name: str, inner_address: str) -> Node:
+        """Start the process of a sidecar, which accepts no calls yet."""
         thread = LoopThread(name=name)
 
         async def build() -> Node:
-            settings = self.settings(Role.SIDECAR, name, inner)
+            settings = self.settings(Role.SIDECAR, name, inner_address)
             core, log = self._make_core(settings, name)
             sidecar = Sidecar(core=core, target=TargetName(name))
             address = sidecar.bind()
@@ -297,12 +298,12 @@
         return node
 
     def start_sidecar(self, node: Node) -> None:
-        """Wait until a sidecar takes work."""
+        """Start a sidecar and wait until it accepts calls."""
         assert node.sidecar is not None
         node.thread.wait(node.sidecar.start())
 
     def add_gateway(self, name: str) -> Node:
-        """Start a gateway."""
+        """Start a gateway and wait until it accepts calls."""
         thread = LoopThread(name=name)
 
         async def build() -> Node:
@@ -318,7 +319,7 @@
         return node
 
     def kill(self, name: str) -> None:
-        """End a process as SIGKILL does: nothing is said or finished."""
+        """End a process without any cleanup, as SIGKILL does."""
         node = self.nodes.pop(name)
         node.log.cut = True
         node.thread.thaw()
@@ -336,28 +337,28 @@
         node.core.context.destroy(linger=0)
 
     def restart(self, name: str) -> Node:
-        """Start a sidecar again at the address that it had."""
+        """Start a killed sidecar again at its previous address."""
         document = next(one for one in self.known_targets() if one.name == name)
         node = self.add_sidecar(name, document.spec.address)
         self.start_sidecar(node)
         return node
 
-    def stop_politely(self, name: str) -> None:
-        """End a process as SIGTERM does."""
+    def stop_gracefully(self, name: str) -> None:
+        """Shut a process down gracefully, as SIGTERM does."""
         node = self.nodes[name]
-        part = node.sidecar or node.gateway
-        assert part is not None
-        node.thread.wait(part.stop())
+        component = node.sidecar or node.gateway
+        assert component is not None
+        node.thread.wait(component.stop())
         self.kill(name)
 
     # Configuration.
 
     def known_targets(self) -> list[Any]:
-        """Return the targets that the first gateway knows."""
+        """Return the targets in the configuration of the first process."""
         return next(iter(self.nodes.values())).core.catalogue.targets
 
     def documents(self) -> list[dict[str, Any]]:
-        """Return the documents that describe this system."""
+        """Return the configuration documents of this system."""
         found: list[dict[str, Any]] = []
         for name, engine in zip(self._engine_names, self.engines, strict=True):
             found.append(
@@ -391,7 +392,7 @@
         return found
 
     def publish(self, documents: list[dict[str, Any]]) -> None:
-        """Put documents into the log before anyone reads it."""
+        """Append a publication of new documents to the log."""
         publication = Publication(
             id=RecordId(new_id("publication")),
             author="test",
@@ -407,7 +408,7 @@
         asyncio.run(log.append("config", [encode_config(publication)]))
         client.close()
 
-    # Looking.
+    # Inspection.
 
     def client(self, gateway: str = "gateway-1", key: str = CALLER_KEY) -> Client:
         """Return a client of a gateway."""
@@ -416,18 +417,18 @@
         return Client(url=f"http://127.0.0.1:{node.gateway.port}", key=key)
 
     def view(self, shard: int) -> ShardView:
-        """Return what the log says of a shard, read anew."""
+        """Return the state of a shard, read from the log."""
         name = stream_name(shard)
         first = self.platform.first(name)
         view = ShardView(first=Offset(first))
-        for place, data in enumerate(self.platform.records(name)):
+        for index, data in enumerate(self.platform.records(name)):
             record = decode_record(data)
             assert record is not None
-            view.apply(Offset(first + place), record)
+            view.apply(Offset(first + index), record)
         return view
 
     def state(self, name: str, workspace: str = WORKSPACE) -> Any:
-        """Return what the log says of a program, read anew."""
+        """Return the state of a program, read from the log, or None."""
         program = ProgramId(f"{workspace}:{name}")
         for shard in range(SHARDS):
             state = self.view(shard).state(program)
@@ -436,11 +437,11 @@
         return None
 
     def home_of(self, name: str) -> str:
-        """Return the home of a program."""
+        """Return the name of a program's home."""
         return self.state(name).home
 
     def executions(self) -> dict[str, int]:
-        """Return how often each key was run by any service."""
+        """Return how often the services ran each idempotency key."""
         found: dict[str, int] = {}
         for service in self.services:
             for key, count in service.executions.items():
@@ -482,7 +483,7 @@
 
 
 class Conversation:
-    """Talk as one program, keeping the messages as a client does."""
+    """Client of one program that keeps the messages and resends them each turn."""
 
     def __init__(self, *, client: Client, program: str, key: str = CALLER_KEY) -> None:
         self.client = client
@@ -491,7 +492,7 @@
         self.answers: list[str] = []
 
     def body(self, text: str, **extra: Any) -> dict[str, Any]:
-        """Return the request for the next turn."""
+        """Return the request body of the next turn."""
         messages = [*self.messages, {"role": "user", "content": text}]
         return {"model": MODEL, "messages": messages, **extra}
 
@@ -512,7 +513,7 @@
         retry: bool = True,
         **extra: Any,
     ) -> str:
-        """Take one turn and return the answer."""
+        """Run one turn and return the answer."""
         body = self.body(text, stand_in={"answer_tokens": tokens}, **extra)
         answer = (client or self.client).request(
             "POST",
@@ -522,10 +523,10 @@
             retry=retry,
         )
         content = answer["choices"][0]["message"]["content"]
-        self.take(text, content)
+        self.add_turn(text, content)
         return content
 
-    def take(self, text: str, content: str) -> None:
+    def add_turn(self, text: str, content: str) -> None:
         """Add a turn to the messages."""
         self.messages.append({"role": "user", "content": text})
         self.messages.append({"role": "assistant", "content": content})
@@ -541,7 +542,7 @@
         seq: int | None = None,
         **headers: str,
     ) -> Any:
-        """Call the tool service."""
+        """Call the tool service, by default as non-idempotent (`once`)."""
         found = {"Idempotency-Key": key, **headers}
         if once:
             found["X-Non-Idempotent"] = "true"
@@ -552,19 +553,19 @@
         )
 
     def stored_messages(self) -> list[dict[str, Any]]:
-        """Return the messages that the system keeps."""
+        """Return the messages in the stored history."""
         answer = self.client.request("GET", f"/v1/programs/{self.program}")
         return [message for entry in answer["history"] for message in entry["messages"]]
 
 
 class SystemTestCase(unittest.TestCase):
-    """Run one system for the tests of a class."""
+    """Base of test classes that share one system."""
 
     system: SystemUnderTest
 
     @classmethod
     def make_system(cls) -> SystemUnderTest:
-        """Return the system that the tests of the class share."""
+        """Return the system for the tests of the class, not yet started."""
         return SystemUnderTest()
 
     @classmethod
@@ -574,12 +575,12 @@
         cls.addClassCleanup(cls.system.stop)
 
     def converse(self, program: str, gateway: str = "gateway-1") -> Conversation:
-        """Return a conversation under a new program."""
+        """Return a conversation of a program through a gateway."""
         return Conversation(client=self.system.client(gateway), program=program)
 
 
 def in_thread(work: Callable[[], T]) -> Future[T]:
-    """Run a function in a thread of its own."""
+    """Run a function in a new thread and return its future."""
     future: Future[T] = Future()
 
     def run() -> None:
--- a/sequoiaarch/tests/faults/scenario.py
+++ b/sequoiaarch/tests/faults/scenario.py
@@ -227,7 +227,7 @@
             self.at(moment, faults, asking)
         answer = asking.result(60)
         self.check_answer(body, answer)
-        talk.take(text, answer)
+        talk.add_turn(text, answer)
 
     def check_answer(self, body: dict[str, Any], answer: str) -> None:
         """Compare an answer with what the engine gives to these messages."""
@@ -357,7 +357,7 @@
         """Stop the home in an orderly way; what runs must not be cut off."""
         name = self.some_engine()
         self.note_left(name)
-        self.system.stop_politely(name)
+        self.system.stop_gracefully(name)
 
     def do_drain_home(self, asking: Any) -> None:
         """Drain the home."""
@@ -407,7 +407,7 @@
 
     def do_stop_gateway(self, asking: Any) -> None:
         """Stop the first gateway in an orderly way."""
-        self.system.stop_politely(self.gateways()[0])
+        self.system.stop_gracefully(self.gateways()[0])
 
     def do_freeze_gateway(self, asking: Any) -> None:
         """Pause the second gateway, through which a copy is asked first."""
--- a/sequoiaarch/tests/runner_tests.py
+++ b/sequoiaarch/tests/runner_tests.py
@@ -1,29 +1,33 @@
-"""Test that only what is known to be red is passed over."""
+"""Test that the test runner ignores only failures of listed tests."""
 
 from __future__ import annotations
 
 import unittest
 
-from .__main__ import known_red, not_known
+from .__main__ import known_failures, unknown_failures
 
-LIST = """# test | command and seed | seen | cause | issue
+KNOWN_FAILURES = """# test | command and seed | seen | cause | issue
 pack.one_tests.Case.test_red | make test | x | y | issue 15
 """
 
 
-class KnownRedTests(unittest.TestCase):
-    """Read a list of known faults and hold failures against it."""
+class KnownFailureTests(unittest.TestCase):
+    """Parse the list of known failures and compare failures with it."""
 
-    def test_names(self) -> None:
-        """Read the names, and nothing from remarks and empty lines."""
-        self.assertEqual(known_red(LIST), {"pack.one_tests.Case.test_red"})
-        self.assertEqual(known_red(""), set())
+    def test_names_of_listed_tests(self) -> None:
+        """Parse the names and skip comments and empty lines."""
+        self.assertEqual(
+            known_failures(KNOWN_FAILURES), {"pack.one_tests.Case.test_red"}
+        )
+        self.assertEqual(known_failures(""), set())
 
-    def test_others_fail(self) -> None:
-        """Pass over what is named as a whole, and no other test."""
+    def test_other_failures_count(self) -> None:
+        """Ignore only failures whose whole name is listed."""
         failed = [
             "pack.one_tests.Case.test_red",
             "pack.one_tests.Case.test_red_too",
             "pack.one_tests.Case",
         ]
-        self.assertEqual(not_known(failed, known_red(LIST)), failed[1:])
+        self.assertEqual(
+            unknown_failures(failed, known_failures(KNOWN_FAILURES)), failed[1:]
+        )
--- a/sequoiaarch/tests/webserver_tests.py
+++ b/sequoiaarch/tests/webserver_tests.py
@@ -1,4 +1,4 @@
-"""Test that a web server stops whatever its threads are doing."""
+"""Test the web server's thread pool."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from ..webserver import SPARE_THREADS, WATCH_INTERVAL, WebServer
+from ..webserver import GROW_CHECK_INTERVAL, MIN_IDLE_THREADS, WebServer
 from .base import in_thread
 
-PATIENCE = 10.0
+TIMEOUT = 10.0
 
 
-def _hold(
+def empty_response(
     environ: dict[str, Any], start_response: Callable[..., Any]
 ) -> Iterable[bytes]:
     start_response("200 OK", [("Content-Length", "0")])
@@ -21,38 +21,37 @@
 
 
 class StopTests(unittest.TestCase):
-    """Stop a server at an awkward moment."""
+    """Stop a server while its thread pool grows."""
 
     def test_stop_while_threads_are_added(self) -> None:
-        """Stop only after the threads that are being added are all there.
+        """Wait for the threads that are being added before the server is stopped.
 
-        A busy server adds threads while it is told to stop. Each thread ends
-        by one order to end; a new thread takes the order of an old one, which
-        then waits for ever, and the stop waits for it.
+        Otherwise a new thread would consume the shutdown request of another one, and
+        the stop would never complete.
         """
-        server = WebServer(app=_hold, address="127.0.0.1", port=0)
+        server = WebServer(app=empty_response, address="127.0.0.1", port=0)
         pool = server._server.requests
-        growing, release = threading.Event(), threading.Event()
+        growth_started, release = threading.Event(), threading.Event()
         grow, stop = pool.grow, server._server.stop
-        early: list[bool] = []
+        stopped_before_growth: list[bool] = []
 
         def slow_grow(amount: int) -> None:
-            growing.set()
-            release.wait(PATIENCE)
+            growth_started.set()
+            release.wait(TIMEOUT)
             grow(amount)
 
-        def watched_stop() -> None:
-            early.append(not release.is_set())
+        def recorded_stop() -> None:
+            stopped_before_growth.append(not release.is_set())
             stop()
 
         pool.grow = slow_grow
-        server._server.stop = watched_stop  # type: ignore[method-assign]
-        server._spare = SPARE_THREADS * 2
+        server._server.stop = recorded_stop  # type: ignore[method-assign]
+        server._min_idle = MIN_IDLE_THREADS * 2
         server.start()
-        self.assertTrue(growing.wait(PATIENCE))
+        self.assertTrue(growth_started.wait(TIMEOUT))
         stopping = in_thread(server.stop)
-        stopping_soon = threading.Event()
-        stopping_soon.wait(10 * WATCH_INTERVAL)
+        pause = threading.Event()
+        pause.wait(10 * GROW_CHECK_INTERVAL)
         release.set()
-        stopping.result(PATIENCE)
-        self.assertEqual(early, [False])
+        stopping.result(TIMEOUT)
+        self.assertEqual(stopped_before_growth, [False])
--- a/sequoiaarch/webserver.py
+++ b/sequoiaarch/webserver.py
@@ -1,4 +1,4 @@
-"""Serve WSGI applications over HTTP with threads to spare."""
+"""WSGI server whose thread pool grows with the number of open connections."""
 
 from __future__ import annotations
 
@@ -15,35 +15,33 @@
 
 log = logbook.Logger("http")
 
-SPARE_THREADS = 16
+MIN_IDLE_THREADS = 16
 MAX_HEADER_BYTES = 32 * 1024
 SOCKET_TIMEOUT = 30
-WATCH_INTERVAL = 0.02
-CLIENT_GONE = "socket.error"
+GROW_CHECK_INTERVAL = 0.02
+CLIENT_DISCONNECTED = "socket.error"
 
 WsgiApp = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
 
 
-_COMPILING = threading.Lock()
+_COMPILE_LOCK = threading.Lock()
 
 
 def make_routes(rules: Iterable[Rule]) -> Map:
-    """Return the map of routes.
+    """Return the URL map of the rules.
 
-    Rules are compiled through the `ast` module, which on Python 3.11 fails
-    with a SystemError when two threads use it at once. One at a time is
-    enough, since routes are made only at the start.
+    A lock guards the compilation of rules: it uses the `ast` module, which on
+    Python 3.11 is not thread-safe and may raise SystemError.
     """
-    with _COMPILING:
+    with _COMPILE_LOCK:
         return Map(rules)
 
 
 class WebServer:
-    """Serve one WSGI application, a thread for each open connection.
+    """Serve a WSGI application with one thread for each open connection.
 
-    A slow reader or a half-sent request holds a thread. Threads are added
-    while fewer than `SPARE_THREADS` are idle, so that such a client holds
-    nobody else up until `max_threads` of them stand at once.
+    Threads are added while fewer than `MIN_IDLE_THREADS` are idle, so that slow
+    clients block others only once `max_threads` are in use.
     """
 
     def __init__(
@@ -56,11 +54,11 @@
         max_body: int = 8 * 1024 * 1024,
     ) -> None:
         self._max_threads = max_threads
-        self._spare = SPARE_THREADS
+        self._min_idle = MIN_IDLE_THREADS
         self._server = wsgi.Server(
             (address, port),
             app,
-            numthreads=SPARE_THREADS,
+            numthreads=MIN_IDLE_THREADS,
             max=max_threads,
             request_queue_size=512,
             timeout=SOCKET_TIMEOUT,
@@ -71,10 +69,10 @@
         self._server.error_log = _log_server_error  # type: ignore[assignment,method-assign]
         self._server.prepare()
         self._stopped = threading.Event()
-        self._grower = threading.Thread(target=self._grow, daemon=True)
+        self._grow_thread = threading.Thread(target=self._grow, daemon=True)
         self._threads = [
             threading.Thread(target=self._server.serve, daemon=True),
-            self._grower,
+            self._grow_thread,
         ]
 
     @property
@@ -83,23 +81,23 @@
         return self._server.bind_addr[1]
 
     def start(self) -> None:
-        """Start to accept connections."""
+        """Start to accept connections, in background threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Stop to accept connections and close those that are open.
+        """Stop accepting connections and close the open ones.
 
-        No thread may be added meanwhile: it would take the order to end that
-        is meant for another, which then waits for ever, and the stop for it.
+        The pool must not grow meanwhile: a new thread would consume the shutdown
+        request of another one, and the stop would never complete.
         """
         self._stopped.set()
-        if self._grower.is_alive():
-            self._grower.join()
+        if self._grow_thread.is_alive():
+            self._grow_thread.join()
         self._server.stop()
 
     def abort(self) -> None:
-        """Break all open connections off, for a stop that can't wait."""
+        """Shut down the sockets of all open connections at once."""
         pool: ThreadPool = self._server.requests
         for worker in list(pool._threads):  # type: ignore[attr-defined]
             connection = worker.conn
@@ -109,19 +107,19 @@
 
     def _grow(self) -> None:
         pool: ThreadPool = self._server.requests
-        total = SPARE_THREADS
-        while not self._stopped.wait(WATCH_INTERVAL):
-            if pool.idle < self._spare and total < self._max_threads:
-                more = min(SPARE_THREADS, self._max_threads - total)
-                pool.grow(more)
-                total += more
+        total = MIN_IDLE_THREADS
+        while not self._stopped.wait(GROW_CHECK_INTERVAL):
+            if pool.idle < self._min_idle and total < self._max_threads:
+                added = min(MIN_IDLE_THREADS, self._max_threads - total)
+                pool.grow(added)
+                total += added
 
 
 def _log_server_error(
     message: str = "", level: int = 20, traceback: bool = False
 ) -> None:
-    # A client that goes away in the middle is no fault of the server.
-    if traceback and not message.startswith(CLIENT_GONE):
+    # A client that disconnects during a request is not a server error.
+    if traceback and not message.startswith(CLIENT_DISCONNECTED):
         log.exception("{}", message)
     else:
         log.debug("{}", message)
