--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -42,8 +42,8 @@
 
 T = TypeVar("T")
 
-TIMEOUT = 60.0
-POLL_INTERVAL = 0.005
+TIMEOUT = 60.0  # seconds
+POLL_INTERVAL = 0.005  # seconds
 CALLER_KEY = "caller-key"
 OTHER_KEY = "other-caller-key"
 OPERATOR_KEY = "operator-key"
@@ -114,7 +114,7 @@
     def __init__(self, *, name: str) -> None:
         self._loop = asyncio.new_event_loop()
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
-        self._thaw: threading.Event | None = None
+        self._resume: threading.Event | None = None
         self._thread.start()
 
     def _run(self) -> None:
@@ -137,11 +137,11 @@
 
         return self.wait(run())
 
-    def freeze(self) -> None:
+    def pause(self) -> None:
         """Block the loop, as SIGSTOP pauses a process."""
         frozen = threading.Event()
         thaw = threading.Event()
-        self._thaw = thaw
+        self._resume = thaw
 
         def block() -> None:
             frozen.set()
@@ -150,11 +150,11 @@
         self._loop.call_soon_threadsafe(block)
         frozen.wait(TIMEOUT)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Unblock the loop, as SIGCONT resumes a process."""
-        if self._thaw is not None:
-            self._thaw.set()
-            self._thaw = None
+        if self._resume is not None:
+            self._resume.set()
+            self._resume = None
 
     def end(self) -> None:
         """Stop the loop and its thread."""
@@ -322,7 +322,7 @@
         """End a process without any cleanup, as SIGKILL does."""
         node = self.nodes.pop(name)
         node.log.cut = True
-        node.thread.thaw()
+        node.thread.resume()
         node.thread.wait(self._kill(node))
         node.thread.end()
 
--- a/sequoiaarch/tests/faults/differential_tests.py
+++ b/sequoiaarch/tests/faults/differential_tests.py
@@ -1,8 +1,7 @@
-"""Compare the system under faults with a naive one without any.
+"""Compare the system under faults with a reference implementation without faults.
 
-Hypothesis chooses what a caller does and what goes wrong between its calls:
-homes are killed or drained, replies of the log are lost, gateways change. The
-caller must see exactly what the naive system answers.
+Hypothesis generates the steps of a caller and the faults between them. The caller
+must see the same answers and errors from both systems.
 """
 
 from __future__ import annotations
@@ -18,57 +17,61 @@
 from ...client import Client, ClientError
 from ...config.settings import LimitOptions
 from ..base import FAST_ENGINE, MODEL, SystemTestCase, SystemUnderTest
-from .naive import NaiveSystem
+from .reference import ReferenceSystem
 
 EXAMPLES = 25
 TOKENS = 5
 KEYS = ("a", "b")
-REPEATED = {"interrupted", "superseded"}
-TRIES = 60
+RETRYABLE_KINDS = {"interrupted", "superseded"}
+MAX_ATTEMPTS = 60
 
 
 @dataclass(frozen=True)
-class Say:
-    """Take the next turn, or one whose history was changed or is repeated."""
+class ModelCall:
+    """A model call.
 
-    change: bool
-    back: int
+    `change_history` alters it; `seq_back` is subtracted from the next sequence number.
+    """
+
+    change_history: bool
+    seq_back: int
 
 
 @dataclass(frozen=True)
-class Pay:
-    """Call the tool that may run once."""
+class ToolCall:
+    """A non-idempotent tool call; `seq_back` as in ModelCall."""
 
     key: str
     amount: int
-    back: int
+    seq_back: int
 
 
 @dataclass(frozen=True)
-class Break:
-    """Let something go wrong."""
+class InjectFault:
+    """A fault between two calls."""
 
-    what: str
+    fault: str
 
 
 @dataclass(frozen=True)
-class End:
-    """End the program."""
+class EndProgram:
+    """The end of the program."""
 
 
 STEPS = st.lists(
     st.one_of(
-        st.builds(Say, st.booleans(), st.sampled_from([0, 0, 0, 1, -1])),
+        st.builds(ModelCall, st.booleans(), st.sampled_from([0, 0, 0, 1, -1])),
         st.builds(
-            Pay,
+            ToolCall,
             st.sampled_from(KEYS),
             st.sampled_from([1, 1, 2]),
             st.sampled_from([0, 0, 1]),
         ),
         st.builds(
-            Break, st.sampled_from(["kill", "drain", "lose reply", "gateway", "slow"])
+            InjectFault,
+            st.sampled_from(["kill", "drain", "lose reply", "gateway", "slow"]),
         ),
-        st.builds(End),
+        st.builds(EndProgram),
     ),
     min_size=2,
     max_size=8,
@@ -76,13 +79,13 @@
 
 
 class DifferentialTests(SystemTestCase):
-    """Run what hypothesis chooses against both systems."""
+    """Run the generated steps against both systems."""
 
-    numbers = itertools.count()
+    program_numbers = itertools.count()
 
     @classmethod
     def make_system(cls) -> SystemUnderTest:
-        """Return a system in which a missing call is refused soon."""
+        """Return a system with two gateways and short timeouts."""
         return SystemUnderTest(
             engines=2,
             services=1,
@@ -101,65 +104,67 @@
         suppress_health_check=list(HealthCheck),
     )
     @given(steps=STEPS)
-    def test_like_the_naive_system(self, steps: list[Any]) -> None:
-        """See the same answers and errors as from the naive system."""
-        name = f"d-{next(self.numbers)}"
-        naive = NaiveSystem()
+    def test_same_results_as_the_reference_system(self, steps: list[Any]) -> None:
+        """Return the same answers and errors as the reference system."""
+        name = f"d-{next(self.program_numbers)}"
+        reference = ReferenceSystem()
         gateway = 1
         for step in steps:
-            if isinstance(step, Break):
-                gateway = self.go_wrong(step.what, name, gateway)
+            if isinstance(step, InjectFault):
+                gateway = self.inject_fault(step.fault, name, gateway)
                 continue
             client = self.system.client(f"gateway-{gateway}")
-            expected, ask = self.plan(step, name, naive, client)
-            self.assertEqual(self.ask(ask), expected, f"{name} {step} of {steps}")
-        for key, count in naive.runs.items():
+            expected, call = self.plan(step, name, reference, client)
+            self.assertEqual(
+                self.call_until_settled(call), expected, f"{name} {step} of {steps}"
+            )
+        for key, count in reference.runs.items():
             self.assertEqual(self.system.executions().get(key, 0), count, key)
 
     def plan(
-        self, step: Any, name: str, naive: NaiveSystem, client: Client
+        self, step: Any, name: str, reference: ReferenceSystem, client: Client
     ) -> tuple[str, Callable[[], str]]:
-        """Return the naive answer to a step and how to ask the system."""
-        program = naive.program(name)
-        if isinstance(step, End):
+        """Return the expected result of a step and the call that runs it."""
+        program = reference.program(name)
+        if isinstance(step, EndProgram):
             if not program.seq:
                 return "", lambda: ""
-            expected = naive.end(name)
+            expected = reference.end(name)
             return expected, lambda: self.end(client, name)
-        seq = max(1, program.seq + 1 - step.back)
-        if isinstance(step, Say):
+        seq = max(1, program.seq + 1 - step.seq_back)
+        if isinstance(step, ModelCall):
             messages = [dict(one) for one in program.messages]
-            if step.change and messages:
+            if step.change_history and messages:
                 messages[0]["content"] += "!"
             messages.append({"role": "user", "content": f"turn {seq}"})
-            expected = naive.say(name, messages, seq, TOKENS)
-            return expected, lambda: self.say(client, name, messages, seq)
+            expected = reference.model_call(name, messages, seq, TOKENS)
+            return expected, lambda: self.model_call(client, name, messages, seq)
         if not program.seq:
             return "", lambda: ""
-        expected = naive.pay(name, f"{name}-{step.key}", step.amount, seq)
-        naive.runs = {
-            key.rpartition("/")[2]: count for key, count in naive.runs.items()
+        expected = reference.tool_call(name, f"{name}-{step.key}", step.amount, seq)
+        reference.runs = {
+            key.rpartition("/")[2]: count for key, count in reference.runs.items()
         }
-        return expected, lambda: self.pay(client, name, step, seq)
+        return expected, lambda: self.tool_call(client, name, step, seq)
 
-    def ask(self, ask: Callable[[], str]) -> str:
-        """Ask until there is an answer or an error that stays."""
-        for _ in range(TRIES):
+    def call_until_settled(self, call: Callable[[], str]) -> str:
+        """Retry a call until it returns an answer or a permanent error."""
+        for _ in range(MAX_ATTEMPTS):
             try:
-                return ask()
+                return call()
             except ClientError as error:
                 kind = error.body["kind"]
-                stays = error.body.get("retry_after") is None
-                if stays and kind not in REPEATED:
+                permanent = error.body.get("retry_after") is None
+                if permanent and kind not in RETRYABLE_KINDS:
                     return kind
             except urllib3.exceptions.HTTPError:
                 continue
-        raise AssertionError("never answered")
+        raise AssertionError("no answer or permanent error after all retries")
 
-    def say(
+    def model_call(
         self, client: Client, name: str, messages: list[dict[str, Any]], seq: int
     ) -> str:
-        """Take a turn."""
+        """Run a model call and return its answer."""
         body = {
             "model": MODEL,
             "messages": messages,
@@ -169,8 +174,8 @@
         answer = client.request("POST", "/v1/chat/completions", body, headers)
         return answer["choices"][0]["message"]["content"]
 
-    def pay(self, client: Client, name: str, step: Pay, seq: int) -> str:
-        """Call the tool."""
+    def tool_call(self, client: Client, name: str, step: ToolCall, seq: int) -> str:
+        """Run a tool call and return its outcome."""
         headers = {
             "X-Call-Seq": str(seq),
             "Idempotency-Key": f"{name}-{step.key}",
@@ -181,21 +186,21 @@
         return f"run {answer['run']}"
 
     def end(self, client: Client, name: str) -> str:
-        """End the program."""
+        """End the program and return its state."""
         return client.request("DELETE", f"/v1/programs/{name}")["state"]
 
-    def go_wrong(self, what: str, name: str, gateway: int) -> int:
-        """Do one thing to the system and return the gateway to use."""
+    def inject_fault(self, fault: str, name: str, gateway: int) -> int:
+        """Inject a fault and return the number of the gateway to use next."""
         state = self.system.state(name)
         home = state.home if state is not None else ""
-        if what == "gateway":
+        if fault == "gateway":
             return 3 - gateway
-        if what == "lose reply":
+        if fault == "lose reply":
             self.system.platform.faults.lose_replies = 1
-        elif what == "slow":
+        elif fault == "slow":
             self.system.platform.faults.delay = 0.02 - self.system.platform.faults.delay
         elif home in self.system.nodes:
-            if what == "kill":
+            if fault == "kill":
                 self.system.kill(home)
                 self.system.restart(home)
             else:
--- a/sequoiaarch/tests/faults/recovery_tests.py
+++ b/sequoiaarch/tests/faults/recovery_tests.py
@@ -1,4 +1,4 @@
-"""Test that turns outlive the home that streamed them."""
+"""Test that turns survive the loss of their home."""
 
 from __future__ import annotations
 
@@ -8,44 +8,40 @@
 
 
 class RecoveryTests(unittest.TestCase):
-    """Lose a home between answer and commit."""
+    """Kill the home of a program after it has answered."""
 
-    def test_another_gateway_finds_the_turn(self) -> None:
-        """Keep a turn whose home died before the log had it.
+    def test_turn_is_committed_by_the_gateway_that_has_a_copy(self) -> None:
+        """Commit a turn whose home is killed before it was appended to the log.
 
-        The log takes nothing while the second answer streams, so its turn
-        stands only in its home and in the first gateway. The home is killed.
-        The caller goes on through the second gateway, which has no copy. The
-        first gateway must have the turn committed by itself.
+        Only the first gateway has a copy of the turn, and the caller continues through
+        the second one: the first must commit the turn without a further request.
         """
         system = SystemUnderTest(gateways=2).start()
         self.addCleanup(system.stop)
-        talk = Conversation(client=system.client(), program="copied")
-        talk.say("first", seq=1)
+        conversation = Conversation(client=system.client(), program="copied")
+        conversation.say("first", seq=1)
         wait_until(lambda: system.state("copied").seq == 1, "first commit")
         system.platform.faults.down = True
-        talk.say("second", seq=2)
+        conversation.say("second", seq=2)
         system.kill(system.home_of("copied"))
         system.platform.faults.down = False
-        talk.client = system.client("gateway-2")
-        wait_until(lambda: system.state("copied").seq == 2, "the turn is kept")
-        talk.say("third", seq=3)
-        wait_until(lambda: len(talk.stored_messages()) == 6, "all turns")
+        conversation.client = system.client("gateway-2")
+        wait_until(lambda: system.state("copied").seq == 2, "the second commit")
+        conversation.say("third", seq=3)
+        wait_until(lambda: len(conversation.stored_messages()) == 6, "all turns")
         self.assertEqual(
-            [one["content"] for one in talk.stored_messages()],
-            [one["content"] for one in talk.messages],
+            [one["content"] for one in conversation.stored_messages()],
+            [one["content"] for one in conversation.messages],
         )
-        router = system.nodes["gateway-1"].gateway
-        assert router is not None
-        wait_until(lambda: router.held_copies == 0, "the copy is dropped")
+        gateway = system.nodes["gateway-1"].gateway
+        assert gateway is not None
+        wait_until(lambda: gateway.held_copies == 0, "removal of the copy")
 
-    def test_unnumbered_repeat_after_the_home_is_lost(self) -> None:
-        """Answer a repeat without a number from the log, as its home would have.
+    def test_unnumbered_retry_after_the_home_is_lost(self) -> None:
+        """Answer a repeated request without a sequence number from the log.
 
-        A stock client sends no sequence numbers. Its answer is kept, but its
-        connection breaks; its home dies, and the client repeats the request.
-        The next home has never seen it, and refused it as a conflict with the
-        history, which already held this very turn, until the client gave up.
+        After the home is lost, the next one must recognise the committed turn instead
+        of rejecting the request as a history conflict.
         """
         system = SystemUnderTest(engines=2).start()
         self.addCleanup(system.stop)
@@ -54,8 +50,8 @@
         wait_until(lambda: system.state("unnumbered").seq == 1, "the commit")
         system.kill(system.home_of("unnumbered"))
         requests = sum(engine.requests for engine in system.engines)
-        again = Conversation(client=system.client(), program="unnumbered")
-        self.assertEqual(again.say("hello"), answer)
+        second = Conversation(client=system.client(), program="unnumbered")
+        self.assertEqual(second.say("hello"), answer)
         self.assertEqual(sum(one.requests for one in system.engines), requests)
-        self.assertTrue(again.say("go on"))
+        self.assertTrue(second.say("go on"))
         wait_until(lambda: system.state("unnumbered").seq == 2, "the next commit")
--- a/sequoiaarch/tests/faults/table.py
+++ b/sequoiaarch/tests/faults/table.py
@@ -1,4 +1,4 @@
-"""List the rows of the fault table: which faults come at which moments."""
+"""Table of the faults that are injected, and at which moments."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Row:
-    """Name one or two faults with their moments."""
+    """One or two faults and the moments at which they are injected."""
 
     faults: tuple[tuple[Moment, Fault], ...]
 
     @property
     def name(self) -> str:
-        """Return what happens, in words."""
+        """Return a description of the faults and their moments."""
         parts = [f"{fault.value} {moment.value}" for moment, fault in self.faults]
         return ", and ".join(parts)
 
@@ -27,7 +27,7 @@
         return found
 
 
-SINGLE: dict[Fault, tuple[Moment, ...]] = {
+SINGLE_FAULTS: dict[Fault, tuple[Moment, ...]] = {
     Fault.KILL_HOME: (
         Moment.BEFORE_START,
         Moment.DURING_FIRST,
@@ -46,7 +46,7 @@
         Moment.BETWEEN,
         Moment.AFTER_ANSWER,
     ),
-    Fault.FREEZE_HOME: (
+    Fault.PAUSE_HOME: (
         Moment.DURING_FIRST,
         Moment.AFTER_FIRST,
         Moment.DURING_TOOL,
@@ -72,10 +72,10 @@
         Moment.DURING_ANSWER,
     ),
     Fault.STOP_GATEWAY: (Moment.DURING_ANSWER, Moment.DURING_TOOL),
-    Fault.FREEZE_GATEWAY: (Moment.BETWEEN,),
+    Fault.PAUSE_GATEWAY: (Moment.BETWEEN,),
     Fault.KILL_TOOL: (Moment.AFTER_FIRST, Moment.DURING_TOOL),
     Fault.RESTART_TOOL: (Moment.AFTER_FIRST, Moment.DURING_TOOL),
-    Fault.FREEZE_TOOL: (Moment.DURING_TOOL,),
+    Fault.PAUSE_TOOL: (Moment.DURING_TOOL,),
     Fault.LOG_DOWN: (
         Moment.DURING_FIRST,
         Moment.AFTER_FIRST,
@@ -100,10 +100,10 @@
         Moment.DURING_ANSWER,
     ),
     Fault.PUBLISH: (Moment.BETWEEN,),
-    Fault.FORGET: (Moment.BETWEEN,),
+    Fault.TRIM_LOG: (Moment.BETWEEN,),
 }
 
-DOUBLE: tuple[tuple[tuple[Moment, Fault], tuple[Moment, Fault]], ...] = (
+DOUBLE_FAULTS: tuple[tuple[tuple[Moment, Fault], tuple[Moment, Fault]], ...] = (
     (
         (Moment.DURING_FIRST, Fault.LOSE_REPLY),
         (Moment.AFTER_FIRST, Fault.KILL_HOME),
@@ -121,7 +121,7 @@
         (Moment.DURING_TOOL, Fault.KILL_HOME),
     ),
     (
-        (Moment.DURING_TOOL, Fault.FREEZE_HOME),
+        (Moment.DURING_TOOL, Fault.PAUSE_HOME),
         (Moment.DURING_TOOL, Fault.SECOND_GATEWAY),
     ),
     (
@@ -145,7 +145,7 @@
         (Moment.AFTER_FIRST, Fault.LOSE_REPLY),
     ),
     (
-        (Moment.BETWEEN, Fault.FREEZE_HOME),
+        (Moment.BETWEEN, Fault.PAUSE_HOME),
         (Moment.DURING_ANSWER, Fault.KILL_GATEWAY),
     ),
     (
@@ -157,7 +157,7 @@
         (Moment.DURING_ANSWER, Fault.KILL_GATEWAY),
     ),
     (
-        (Moment.BETWEEN, Fault.FORGET),
+        (Moment.BETWEEN, Fault.TRIM_LOG),
         (Moment.DURING_ANSWER, Fault.KILL_HOME),
     ),
     (
@@ -169,7 +169,7 @@
         (Moment.DURING_ANSWER, Fault.KILL_GATEWAY),
     ),
     (
-        (Moment.DURING_FIRST, Fault.FREEZE_HOME),
+        (Moment.DURING_FIRST, Fault.PAUSE_HOME),
         (Moment.DURING_TOOL, Fault.SECOND_GATEWAY),
     ),
     (
@@ -180,6 +180,6 @@
 
 ROWS: tuple[Row, ...] = tuple(
     Row(faults=((moment, fault),))
-    for fault, moments in SINGLE.items()
+    for fault, moments in SINGLE_FAULTS.items()
     for moment in moments
-) + tuple(Row(faults=pair) for pair in DOUBLE)
+) + tuple(Row(faults=pair) for pair in DOUBLE_FAULTS)
--- a/sequoiaarch/tests/faults/table_tests.py
+++ b/sequoiaarch/tests/faults/table_tests.py
@@ -1,87 +1,80 @@
-"""Run every row of the fault table.
-
-In each row one program takes three model turns and one tool call that may
-not be repeated, beside a program of the same name in another workspace. The
-faults of the row come at their moments; the caller asks again as it is told
-to. Then all ten properties are checked from what the caller, the targets and
-the log saw.
-"""
+"""Run a scenario with the faults of each row of the fault table."""
 
 from __future__ import annotations
 
 import unittest
 from concurrent.futures import ThreadPoolExecutor
 
-from .scenario import Run
-from .table import DOUBLE, ROWS, Row
+from .scenario import Scenario
+from .table import DOUBLE_FAULTS, ROWS, Row
 
-ROWS_AT_ONCE = 4
+CONCURRENT_ROWS = 4
 PARTS = 4
 
 
 def run_row(row: Row) -> list[str]:
-    """Run one row and return what was wrong."""
-    run = Run()
+    """Run the scenario of a row and return the problems found."""
+    scenario = Scenario()
     try:
-        run.start()
-        run.run(row.by_moment())
+        scenario.start()
+        scenario.run(row.by_moment())
     except Exception as error:
-        run.problems.append(f"{type(error).__name__}: {error}")
+        scenario.problems.append(f"{type(error).__name__}: {error}")
     finally:
-        run.stop()
-    return run.problems
+        scenario.stop()
+    return scenario.problems
 
 
 class FaultTableTests(unittest.TestCase):
     """Check the table itself."""
 
     def test_size(self) -> None:
-        """Hold the table to its size."""
+        """Require a minimum number of distinct rows and of rows with two faults."""
         self.assertGreaterEqual(len(ROWS), 60)
-        self.assertGreaterEqual(len(DOUBLE), 15)
+        self.assertGreaterEqual(len(DOUBLE_FAULTS), 15)
         self.assertEqual(len({row.name for row in ROWS}), len(ROWS))
 
 
-class _PartOfTheTable(unittest.TestCase):
-    """Check the properties under the faults of every fourth row."""
+class _TablePartTestCase(unittest.TestCase):
+    """Base of the tests of every fourth row."""
 
     def run_part(self, part: int) -> None:
-        """Run the rows of one part, some at once."""
+        """Run the rows of a part concurrently and check that no problems are found."""
         rows = ROWS[part::PARTS]
-        with ThreadPoolExecutor(ROWS_AT_ONCE) as pool:
+        with ThreadPoolExecutor(CONCURRENT_ROWS) as pool:
             results = list(pool.map(run_row, rows))
         for row, problems in zip(rows, results, strict=True):
             with self.subTest(row.name):
                 self.assertEqual(problems, [])
 
 
-class FirstPartTests(_PartOfTheTable):
-    """Check the first part."""
+class FirstPartTests(_TablePartTestCase):
+    """Run the first quarter of the table."""
 
     def test_rows(self) -> None:
-        """Run its rows."""
+        """Run rows 0, 4, 8, ..."""
         self.run_part(0)
 
 
-class SecondPartTests(_PartOfTheTable):
-    """Check the second part."""
+class SecondPartTests(_TablePartTestCase):
+    """Run the second quarter of the table."""
 
     def test_rows(self) -> None:
-        """Run its rows."""
+        """Run rows 1, 5, 9, ..."""
         self.run_part(1)
 
 
-class ThirdPartTests(_PartOfTheTable):
-    """Check the third part."""
+class ThirdPartTests(_TablePartTestCase):
+    """Run the third quarter of the table."""
 
     def test_rows(self) -> None:
-        """Run its rows."""
+        """Run rows 2, 6, 10, ..."""
         self.run_part(2)
 
 
-class FourthPartTests(_PartOfTheTable):
-    """Check the fourth part."""
+class FourthPartTests(_TablePartTestCase):
+    """Run the last quarter of the table."""
 
     def test_rows(self) -> None:
-        """Run its rows."""
+        """Run rows 3, 7, 11, ..."""
         self.run_part(3)
