--- a/sequoiaarch/client.py
+++ b/sequoiaarch/client.py
@@ -9,11 +9,11 @@
 import msgspec
 import urllib3
 
-CONNECT_TIMEOUT = 3.0
-READ_TIMEOUT = 120.0
+CONNECT_TIMEOUT = 3.0  # seconds
+READ_TIMEOUT = 120.0  # seconds
 MAX_ATTEMPTS = 6
 RETRYABLE_STATUSES = {429, 503}
-MAX_RETRY_DELAY = 2.0
+MAX_RETRY_DELAY = 2.0  # seconds
 
 
 class ClientError(Exception):
--- a/sequoiaarch/commands/drain.py
+++ b/sequoiaarch/commands/drain.py
@@ -8,7 +8,7 @@
 
 from .base import Connection, json_option, pass_connection
 
-POLL_INTERVAL = 0.3
+POLL_INTERVAL = 0.3  # seconds
 
 
 @click.command()
--- a/sequoiaarch/config/follower.py
+++ b/sequoiaarch/config/follower.py
@@ -24,12 +24,12 @@
 log = logbook.Logger("config")
 
 CONFIG_STREAM = "config"
-LONG_POLL_TIMEOUT = 10.0
-READ_LIMIT = 256
-MIN_RETRY_DELAY = 0.1
-MAX_RETRY_DELAY = 2.0
+LONG_POLL_TIMEOUT = 10.0  # seconds
+READ_LIMIT = 256  # records per request
+MIN_RETRY_DELAY = 0.1  # seconds
+MAX_RETRY_DELAY = 2.0  # seconds
 MAX_PUBLISH_ATTEMPTS = 5
-VERDICT_TIMEOUT = 10.0
+VERDICT_TIMEOUT = 10.0  # seconds
 
 FetchPeerSnapshots = Callable[[], Awaitable[list[ConfigSnapshot]]]
 
--- a/sequoiaarch/config/store.py
+++ b/sequoiaarch/config/store.py
@@ -21,7 +21,7 @@
 )
 from .validation import InvalidDocument
 
-MAX_HISTORY = 1024
+MAX_HISTORY = 1024  # publications
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True):
--- a/sequoiaarch/config/validation.py
+++ b/sequoiaarch/config/validation.py
@@ -10,7 +10,7 @@
 from pydantic import BaseModel, ConfigDict, ValidationError
 from rapidfuzz import process
 
-MIN_SIMILARITY = 70.0
+MIN_SIMILARITY = 70.0  # percent
 
 
 class Options(BaseModel):
--- a/sequoiaarch/tests/webserver_tests.py
+++ b/sequoiaarch/tests/webserver_tests.py
@@ -10,7 +10,7 @@
 from ..webserver import GROW_CHECK_INTERVAL, MIN_IDLE_THREADS, WebServer
 from .base import in_thread
 
-TIMEOUT = 10.0
+TIMEOUT = 10.0  # seconds
 
 
 def empty_response(
--- a/sequoiaarch/webserver.py
+++ b/sequoiaarch/webserver.py
@@ -17,8 +17,9 @@
 
 MIN_IDLE_THREADS = 16
 MAX_HEADER_BYTES = 32 * 1024
-SOCKET_TIMEOUT = 30
-GROW_CHECK_INTERVAL = 0.02
+SOCKET_TIMEOUT = 30  # seconds
+GROW_CHECK_INTERVAL = 0.02  # seconds
+# Prefix of cheroot's messages about lost connections.
 CLIENT_DISCONNECTED = "socket.error"
 
 WsgiApp = Callable[[dict[str, Any], Callable[..., Any]], Iterable[bytes]]
