--- a/sequoiaarch/commands/base.py
+++ b/sequoiaarch/commands/base.py
@@ -40,7 +40,7 @@
         """Return the client of the gateway."""
         return self._client
 
-    def ask(self, request: Callable[[], T]) -> T:
+    def send(self, request: Callable[[], T]) -> T:
         """Send a request and return its result; print an error and exit if it fails."""
         try:
             return request()
@@ -55,7 +55,7 @@
 
     def get(self, path: str) -> Any:
         """Send a GET request and return the JSON body of the response."""
-        return self.ask(lambda: self._client.request("GET", path))
+        return self.send(lambda: self._client.request("GET", path))
 
     def show(self, value: Any, lines: list[str]) -> None:
         """Print the value as JSON if that was asked for, or else the lines."""
--- a/sequoiaarch/commands/config.py
+++ b/sequoiaarch/commands/config.py
@@ -103,7 +103,7 @@
     if not connection.as_json:
         click.echo("publishing and reading back ...", err=True)
     body = {"id": new_id("publication"), "author": author, "changes": changes}
-    verdict = connection.ask(
+    verdict = connection.send(
         lambda: connection.client.request("POST", "/v1/admin/config", body, retry=True)
     )
     keys = ", ".join(verdict["keys"])
--- a/sequoiaarch/commands/drain.py
+++ b/sequoiaarch/commands/drain.py
@@ -20,7 +20,7 @@
 def drain(connection: Connection, target: str, undo: bool, wait: float) -> None:
     """Drain a target, or let it take work again."""
     body = {"target": target, "drain": not undo}
-    answer = connection.ask(
+    answer = connection.send(
         lambda: connection.client.request("POST", "/v1/admin/drain", body)
     )
     deadline = time.monotonic() + (0 if undo else wait)
--- a/sequoiaarch/commands/program.py
+++ b/sequoiaarch/commands/program.py
@@ -56,7 +56,7 @@
 @pass_connection
 def end(connection: Connection, name: str) -> None:
     """End a program and free what it holds."""
-    answer = connection.ask(
+    answer = connection.send(
         lambda: connection.client.request("DELETE", f"/v1/admin/programs/{name}")
     )
     connection.show(answer, [f"ended: {answer['ended']}"])
--- a/sequoiaarch/commands/run.py
+++ b/sequoiaarch/commands/run.py
@@ -25,6 +25,6 @@
     lines: list[str] = []
     print_line = lines.append if connection.as_json else click.echo
     runner = ScriptRunner(client=connection.client, script=script, say=print_line)
-    name = connection.ask(runner.run)
+    name = connection.send(runner.run)
     answer = {"program": name, "trace_id": runner.trace_id, "lines": lines}
     connection.show(answer, [f"trace {runner.trace_id}"])
--- a/sequoiaarch/tests/commands/cli_tests.py
+++ b/sequoiaarch/tests/commands/cli_tests.py
@@ -80,7 +80,7 @@
             lambda: all(
                 entry["takes_work"] for entry in self.as_json("targets")["targets"]
             ),
-            "work is taken again",
+            "all targets to take work",
         )
 
     def test_program(self) -> None:
