--- a/sequoiaarch/config/__init__.py
+++ b/sequoiaarch/config/__init__.py
@@ -1,1 +1,1 @@
-"""Read settings and configuration documents, and say what is wrong in them."""
+"""Settings, configuration documents and their validation."""
--- a/sequoiaarch/tests/base.py
+++ b/sequoiaarch/tests/base.py
@@ -72,39 +72,43 @@
 class GatedLog:
     """Client of the log whose requests can be blocked or made to fail.
 
-    After `hold()`, requests wait until `release()`. While `cut`, all requests fail;
-    while `cut_appends`, only appends do.
+    Requests wait between `block_requests()` and `unblock_requests()`. All of them fail
+    while `disconnected`, and only appends while `fail_appends`.
     """
 
     def __init__(self, *, log: HttpLog) -> None:
         self._log = log
-        self._open = asyncio.Event()
-        self._open.set()
-        self.cut = False
-        self.cut_appends = False
+        self._unblocked = asyncio.Event()
+        self._unblocked.set()
+        self.disconnected = False
+        self.fail_appends = False
 
-    def hold(self) -> None:
+    def block_requests(self) -> None:
         """Block all requests."""
-        self._open.clear()
+        self._unblocked.clear()
 
-    def release(self) -> None:
+    def unblock_requests(self) -> None:
         """Unblock all requests."""
-        self._open.set()
+        self._unblocked.set()
 
     async def append(self, stream: str, records: list[bytes]) -> Offset | Failure:
-        """Append to a stream, unless blocked or cut."""
-        await self._open.wait()
-        if self.cut or self.cut_appends:
-            return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="cut by the test")
+        """Append to a stream, unless blocked or disconnected."""
+        await self._unblocked.wait()
+        if self.disconnected or self.fail_appends:
+            return Failure(
+                kind=ErrorKind.LOG_UNAVAILABLE, reason="disconnected by the test"
+            )
         return await self._log.append(stream, records)
 
     async def read(
         self, stream: str, start: Offset, *, limit: int, wait: float
     ) -> Page | Failure:
-        """Read a stream, unless blocked or cut."""
-        await self._open.wait()
-        if self.cut:
-            return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason="cut by the test")
+        """Read a stream, unless blocked or disconnected."""
+        await self._unblocked.wait()
+        if self.disconnected:
+            return Failure(
+                kind=ErrorKind.LOG_UNAVAILABLE, reason="disconnected by the test"
+            )
         return await self._log.read(stream, start, limit=limit, wait=min(wait, 0.5))
 
 
@@ -321,13 +325,13 @@
     def kill(self, name: str) -> None:
         """End a process without any cleanup, as SIGKILL does."""
         node = self.nodes.pop(name)
-        node.log.cut = True
+        node.log.disconnected = True
         node.thread.resume()
         node.thread.wait(self._kill(node))
         node.thread.end()
 
     async def _kill(self, node: Node) -> None:
-        node.log.release()
+        node.log.unblock_requests()
         if node.sidecar is not None:
             node.sidecar.close()
         if node.gateway is not None:
@@ -536,15 +540,15 @@
         self,
         key: str,
         *,
-        once: bool = True,
+        non_idempotent: bool = True,
         client: Client | None = None,
         body: dict[str, Any] | None = None,
         seq: int | None = None,
         **headers: str,
     ) -> Any:
-        """Call the tool service, by default as non-idempotent (`once`)."""
+        """Call the tool service, by default as non-idempotent."""
         found = {"Idempotency-Key": key, **headers}
-        if once:
+        if non_idempotent:
             found["X-Non-Idempotent"] = "true"
         if seq is not None:
             found["X-Call-Seq"] = str(seq)
--- a/sequoiaarch/tests/faults/scenario.py
+++ b/sequoiaarch/tests/faults/scenario.py
@@ -486,10 +486,10 @@
     def do_cut_home_from_log(self, pending_call: Any) -> None:
         """Disconnect only the home from the log."""
         node = self.system.nodes[self.home_or_engine()]
-        node.log.cut = True
+        node.log.disconnected = True
 
         def restore() -> None:
-            node.log.cut = False
+            node.log.disconnected = False
 
         self._undo.append(restore)
         call_later(FAULT_SECONDS * 3, restore)
