--- a/sequoiaarch/errors.py
+++ b/sequoiaarch/errors.py
@@ -1,4 +1,4 @@
-"""Hold the closed list of error kinds and the answer that each one gets."""
+"""Define the kinds of error and the HTTP response of each."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class NotRun(Enum):
-    """Say whether the request that failed was run."""
+    """Whether it is certain that a failed request was not run, so may be repeated."""
 
     YES = "true"
     NO = "false"
@@ -17,7 +17,7 @@
 
 
 class ErrorKind(Enum):
-    """List every kind of error that a caller or operator can see."""
+    """Kinds of error that callers and operators can see."""
 
     MALFORMED = "malformed"
     TOO_LARGE = "too_large"
@@ -50,51 +50,58 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Answer:
-    """Describe the answer that one kind of error gets over HTTP."""
+class ErrorResponse:
+    """HTTP response of a kind of error; `retry_after` is in seconds."""
 
     status: int
     not_run: NotRun
     retry_after: float | None = None
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.MALFORMED: Answer(status=400, not_run=NotRun.YES),
-    ErrorKind.TOO_LARGE: Answer(status=413, not_run=NotRun.YES),
-    ErrorKind.UNAUTHORISED: Answer(status=401, not_run=NotRun.YES),
-    ErrorKind.NOT_FOUND: Answer(status=404, not_run=NotRun.YES),
-    ErrorKind.UNKNOWN_MODEL: Answer(status=404, not_run=NotRun.YES),
-    ErrorKind.UNKNOWN_SERVICE: Answer(status=404, not_run=NotRun.YES),
-    ErrorKind.HISTORY_CONFLICT: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.OUT_OF_SEQUENCE: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.KEY_CONFLICT: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.BUDGET_EXHAUSTED: Answer(status=402, not_run=NotRun.YES),
-    ErrorKind.PROGRAM_ENDED: Answer(status=410, not_run=NotRun.YES),
-    ErrorKind.PROGRAM_LIMIT: Answer(status=403, not_run=NotRun.YES),
-    ErrorKind.OVERLOADED: Answer(status=429, not_run=NotRun.YES, retry_after=1.0),
-    ErrorKind.STARTING: Answer(status=503, not_run=NotRun.YES, retry_after=0.3),
-    ErrorKind.STOPPING: Answer(status=503, not_run=NotRun.YES, retry_after=0.2),
-    ErrorKind.MOVED: Answer(status=503, not_run=NotRun.YES, retry_after=0.2),
-    ErrorKind.NO_TARGET: Answer(status=503, not_run=NotRun.YES, retry_after=1.0),
-    ErrorKind.LOG_UNAVAILABLE: Answer(status=503, not_run=NotRun.YES, retry_after=2.0),
-    ErrorKind.OUTDATED: Answer(status=503, not_run=NotRun.YES, retry_after=0.2),
-    ErrorKind.LIMIT_UNKNOWN: Answer(status=503, not_run=NotRun.YES, retry_after=0.3),
-    ErrorKind.SUPERSEDED: Answer(status=409, not_run=NotRun.NO, retry_after=0.2),
-    ErrorKind.INTERRUPTED: Answer(status=502, not_run=NotRun.NO, retry_after=0.2),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(status=502, not_run=NotRun.UNKNOWN),
-    ErrorKind.DEADLINE_EXCEEDED: Answer(status=504, not_run=NotRun.UNKNOWN),
-    ErrorKind.TARGET_FAILED: Answer(status=502, not_run=NotRun.NO),
-    ErrorKind.CONFIG_INVALID: Answer(status=422, not_run=NotRun.YES),
-    ErrorKind.CONFIG_CONFLICT: Answer(status=409, not_run=NotRun.YES),
-    ErrorKind.INTERNAL: Answer(status=500, not_run=NotRun.UNKNOWN),
+ERROR_RESPONSES: dict[ErrorKind, ErrorResponse] = {
+    ErrorKind.MALFORMED: ErrorResponse(status=400, not_run=NotRun.YES),
+    ErrorKind.TOO_LARGE: ErrorResponse(status=413, not_run=NotRun.YES),
+    ErrorKind.UNAUTHORISED: ErrorResponse(status=401, not_run=NotRun.YES),
+    ErrorKind.NOT_FOUND: ErrorResponse(status=404, not_run=NotRun.YES),
+    ErrorKind.UNKNOWN_MODEL: ErrorResponse(status=404, not_run=NotRun.YES),
+    ErrorKind.UNKNOWN_SERVICE: ErrorResponse(status=404, not_run=NotRun.YES),
+    ErrorKind.HISTORY_CONFLICT: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.OUT_OF_SEQUENCE: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.KEY_CONFLICT: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.BUDGET_EXHAUSTED: ErrorResponse(status=402, not_run=NotRun.YES),
+    ErrorKind.PROGRAM_ENDED: ErrorResponse(status=410, not_run=NotRun.YES),
+    ErrorKind.PROGRAM_LIMIT: ErrorResponse(status=403, not_run=NotRun.YES),
+    ErrorKind.OVERLOADED: ErrorResponse(
+        status=429, not_run=NotRun.YES, retry_after=1.0
+    ),
+    ErrorKind.STARTING: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.3),
+    ErrorKind.STOPPING: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.2),
+    ErrorKind.MOVED: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.2),
+    ErrorKind.NO_TARGET: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=1.0),
+    ErrorKind.LOG_UNAVAILABLE: ErrorResponse(
+        status=503, not_run=NotRun.YES, retry_after=2.0
+    ),
+    ErrorKind.OUTDATED: ErrorResponse(status=503, not_run=NotRun.YES, retry_after=0.2),
+    ErrorKind.LIMIT_UNKNOWN: ErrorResponse(
+        status=503, not_run=NotRun.YES, retry_after=0.3
+    ),
+    ErrorKind.SUPERSEDED: ErrorResponse(status=409, not_run=NotRun.NO, retry_after=0.2),
+    ErrorKind.INTERRUPTED: ErrorResponse(
+        status=502, not_run=NotRun.NO, retry_after=0.2
+    ),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorResponse(status=502, not_run=NotRun.UNKNOWN),
+    ErrorKind.DEADLINE_EXCEEDED: ErrorResponse(status=504, not_run=NotRun.UNKNOWN),
+    ErrorKind.TARGET_FAILED: ErrorResponse(status=502, not_run=NotRun.NO),
+    ErrorKind.CONFIG_INVALID: ErrorResponse(status=422, not_run=NotRun.YES),
+    ErrorKind.CONFIG_CONFLICT: ErrorResponse(status=409, not_run=NotRun.YES),
+    ErrorKind.INTERNAL: ErrorResponse(status=500, not_run=NotRun.UNKNOWN),
 }
 
 
 class Failure(msgspec.Struct, frozen=True, kw_only=True):
-    """Stand in for a result that could not be had, with the reason.
+    """Returned in place of a result, with the kind of error and its reason.
 
-    `not_run` and `retry_after` (seconds) override the table where the part
-    that failed knows better than the kind does.
+    `not_run` and `retry_after` (seconds) override the defaults of the kind.
     """
 
     kind: ErrorKind
@@ -105,34 +112,33 @@
     expected_seq: int | None = None
 
     @property
-    def answer(self) -> Answer:
-        """Return the answer of this kind."""
-        return ANSWERS[self.kind]
+    def response(self) -> ErrorResponse:
+        """Return the HTTP response of this kind of error."""
+        return ERROR_RESPONSES[self.kind]
 
     @property
     def run_state(self) -> NotRun:
-        """Return whether the request was run."""
-        return self.not_run or self.answer.not_run
+        """Return whether it is certain that the request was not run."""
+        return self.not_run or self.response.not_run
 
     @property
-    def wait(self) -> float | None:
-        """Return the seconds after which to ask again, if that helps."""
+    def retry_delay(self) -> float | None:
+        """Return the seconds until a retry, or None if a retry is of no use."""
         if self.retry_after is not None:
             return self.retry_after
-        return self.answer.retry_after
+        return self.response.retry_after
 
     def before_dispatch(self) -> Failure:
         """Return this failure for a request that was not yet dispatched.
 
-        A record that the log may or may not have taken leaves its own fate in
-        doubt, not the request's: told that it may have run, callers gave up on
-        calls that they could have repeated.
+        Such a request was certainly not run, even if it is unknown whether a record
+        about it was appended to the log.
         """
         return msgspec.structs.replace(self, not_run=NotRun.YES)
 
 
 class FailureError(Exception):
-    """Carry a failure up to the place that answers the request."""
+    """Raised to end a request with a failure."""
 
     def __init__(self, failure: Failure) -> None:
         super().__init__(f"{failure.kind.value}: {failure.reason}")
@@ -140,5 +146,5 @@
 
 
 def fail(kind: ErrorKind, reason: str, **details: object) -> FailureError:
-    """Return an exception that carries a failure of the kind."""
+    """Return an exception for a failure of the kind, to be raised by the caller."""
     return FailureError(Failure(kind=kind, reason=reason, **details))  # type: ignore[arg-type]
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..config.documents import PolicySpecification, TargetType, WhenLogIsAway
+from ..config.documents import LogOutagePolicy, PolicySpecification, TargetType
 from ..errors import ErrorKind, Failure, FailureError, NotRun, fail
 from ..ids import AttemptId, RecordId, TargetName, new_id
 from ..records.acceptance import Refusal
@@ -148,7 +148,7 @@
     def _intent_timeout(self, request: CallRequest) -> float:
         """Return the timeout for appending an intent, in seconds."""
         policy = self._context.local_programs.policy(request.spec)
-        if policy.log_away is WhenLogIsAway.WAIT:
+        if policy.log_away is LogOutagePolicy.WAIT:
             return min(request.deadline, policy.service_timeout)
         return self._context.limits.submit_timeout
 
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -85,7 +85,7 @@
             local=core.local_shards,
             shards=core.shards,
             own_shards=self._own_shards,
-            renew_config=core.config_follower.renew_if_due,
+            renew_config=core.config_follower.append_snapshot_if_due,
             limits=core.settings.limits,
         )
 
@@ -173,7 +173,7 @@
 
     async def start(self) -> None:
         """Wait for the configuration of the target, then start to accept work."""
-        await self._core.config_follower.ready()
+        await self._core.config_follower.wait_ready()
         document = self._target_document()
         while document is None:
             log.warning("No Target document names {} yet.", self._target)
--- a/sequoiaarch/tests/gateway/app_tests.py
+++ b/sequoiaarch/tests/gateway/app_tests.py
@@ -67,7 +67,9 @@
             chunks = [chunk.choices[0].delta.content or "" for chunk in stream]
             self.assertGreater(len(chunks), 2)
             messages.append({"role": "assistant", "content": "".join(chunks)})
-        history = Conversation(client=self.system.client(), program="streamed").kept
+        history = Conversation(
+            client=self.system.client(), program="streamed"
+        ).stored_messages
         wait_until(lambda: len(history()) == 6, "three turns are committed")
         self.assertEqual(
             [message["content"] for message in history()],
@@ -200,7 +202,7 @@
         conversation = self.converse("gap")
         conversation.say("first", seq=1)
         with self.assertRaises(ClientError) as caught:
-            conversation.say("third", seq=3, patient=False)
+            conversation.say("third", seq=3, retry=False)
         self.check_error(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
         self.assertEqual(caught.exception.body["expected_seq"], 2)
 
@@ -208,7 +210,7 @@
         """Another request with the sequence number of an answered call is refused."""
         self.converse("taken").say("one thing", seq=1)
         with self.assertRaises(ClientError) as caught:
-            self.converse("taken").say("another", seq=1, patient=False)
+            self.converse("taken").say("another", seq=1, retry=False)
         self.check_error(caught.exception, 409, "out_of_sequence", "X-Call-Seq")
 
     def test_history_conflict(self) -> None:
@@ -217,7 +219,7 @@
         conversation.say("first")
         conversation.messages[0]["content"] = "never said"
         with self.assertRaises(ClientError) as caught:
-            conversation.say("second", patient=False)
+            conversation.say("second", retry=False)
         self.check_error(caught.exception, 409, "history_conflict", "messages")
 
     def test_programs_are_private_to_their_workspace(self) -> None:
@@ -232,7 +234,7 @@
             lambda: self.system.state("mine", "beta"),
             "the program of the other workspace",
         )
-        history = Conversation(client=other, program="mine").kept()
+        history = Conversation(client=other, program="mine").stored_messages()
         self.assertEqual(history[0]["content"], "my own")
 
     def test_too_large(self) -> None:
@@ -284,12 +286,12 @@
         )
         conversation = Conversation(client=client, program=created["id"])
         conversation.say("hello")
-        wait_until(lambda: len(conversation.kept()) == 2, "the turn is committed")
+        wait_until(lambda: len(conversation.stored_messages()) == 2, "the turn is committed")
         ended = client.request("DELETE", f"/v1/programs/{created['id']}")
         self.assertEqual(ended["state"], "ended")
         self.assertEqual(ended["reserved"], 0)
         with self.assertRaises(ClientError) as caught:
-            conversation.say("too late", patient=False)
+            conversation.say("too late", retry=False)
         self.assertEqual(caught.exception.body["kind"], "program_ended")
 
     def test_child_budget_moves_and_returns(self) -> None:
@@ -304,7 +306,7 @@
         self.assertEqual(client.request("GET", path)["moved"], 20_000)
         conversation = Conversation(client=client, program=child["id"])
         conversation.say("work")
-        wait_until(lambda: len(conversation.kept()) == 2, "the turn is committed")
+        wait_until(lambda: len(conversation.stored_messages()) == 2, "the turn is committed")
         ended = client.request("DELETE", f"/v1/programs/{child['id']}")
         parent = client.request("GET", path)
         self.assertEqual(parent["moved"], 0)
--- a/sequoiaarch/tests/shards/retention_tests.py
+++ b/sequoiaarch/tests/shards/retention_tests.py
@@ -77,7 +77,7 @@
         self.system.platform.faults.retention = RETAINED_RECORDS
         names = list(self.system.nodes)
         documents = {
-            document.name: document for document in self.system.documents_in_force()
+            document.name: document for document in self.system.known_targets()
         }
         for name in names:
             self.system.kill(name)
@@ -90,8 +90,8 @@
         repeated = conversation.tool("slip", seq=2)
         self.assertEqual(repeated["run"], 1)
         self.assertEqual(self.system.executions()["slip"], 1)
-        wait_until(lambda: len(conversation.kept()) == 4, "all turns")
+        wait_until(lambda: len(conversation.stored_messages()) == 4, "all turns")
         self.assertEqual(
-            [message["content"] for message in conversation.kept()],
+            [message["content"] for message in conversation.stored_messages()],
             [message["content"] for message in conversation.messages],
         )
