--- a/sequoiaarch/tests/gateway/app_tests.py
+++ b/sequoiaarch/tests/gateway/app_tests.py
@@ -286,7 +286,9 @@
         )
         conversation = Conversation(client=client, program=created["id"])
         conversation.say("hello")
-        wait_until(lambda: len(conversation.stored_messages()) == 2, "the turn is committed")
+        wait_until(
+            lambda: len(conversation.stored_messages()) == 2, "the turn is committed"
+        )
         ended = client.request("DELETE", f"/v1/programs/{created['id']}")
         self.assertEqual(ended["state"], "ended")
         self.assertEqual(ended["reserved"], 0)
@@ -306,7 +308,9 @@
         self.assertEqual(client.request("GET", path)["moved"], 20_000)
         conversation = Conversation(client=client, program=child["id"])
         conversation.say("work")
-        wait_until(lambda: len(conversation.stored_messages()) == 2, "the turn is committed")
+        wait_until(
+            lambda: len(conversation.stored_messages()) == 2, "the turn is committed"
+        )
         ended = client.request("DELETE", f"/v1/programs/{child['id']}")
         parent = client.request("GET", path)
         self.assertEqual(parent["moved"], 0)
