--- a/sequoiaarch/bench/compare.py
+++ b/sequoiaarch/bench/compare.py
@@ -11,8 +11,8 @@
 import click
 import msgspec
 
+from .cluster import Deployment, Fleet
 from .driver import ProgramResult, drive
-from .fleet import Deployment, Fleet
 from .workload import kunene, plan, presupuesto
 
 LOADS = (60, 85, 105)
--- a/sequoiaarch/bench/cost.py
+++ b/sequoiaarch/bench/cost.py
@@ -17,7 +17,7 @@
 from ..client import Client
 from ..config.settings import LimitOptions
 from ..standins.engine import EngineOptions
-from .fleet import MODEL, Deployment, Fleet, Place
+from .cluster import MODEL, Deployment, Fleet, Place
 
 RESULTS = Path("results")
 MICROSECONDS = 1_000_000
--- a/sequoiaarch/bench/driver.py
+++ b/sequoiaarch/bench/driver.py
@@ -11,7 +11,7 @@
 import urllib3
 
 from ..client import Client, ClientError
-from .fleet import CALLER_KEY, MODEL, SERVICE, Fleet
+from .cluster import CALLER_KEY, MODEL, SERVICE, Fleet
 from .workload import CLIENT_DELAY, PlannedProgram, PlannedStep, StepKind, text_of
 
 GIVE_UP = 90.0
--- a/sequoiaarch/bench/soak.py
+++ b/sequoiaarch/bench/soak.py
@@ -26,7 +26,7 @@
 from ..config.settings import LimitOptions
 from ..standins.engine import ChatBody, ChatMessage, EngineOptions, Sequence
 from ..standins.platform import Faults
-from .fleet import CALLER_KEY, MODEL, SERVICE, WORKSPACE, Deployment, Fleet, Place
+from .cluster import CALLER_KEY, MODEL, SERVICE, WORKSPACE, Deployment, Fleet, Place
 
 CALLERS = 12
 TURNS = 4
--- a/sequoiaarch/bench/workload.py
+++ b/sequoiaarch/bench/workload.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from ..standins.engine import CHARACTERS_A_TOKEN, EngineOptions
-from .fleet import MODEL, Deployment, Place
+from .cluster import MODEL, Deployment, Place
 
 BENCH_ENGINE = EngineOptions(
     model=MODEL,
--- a/sequoiaarch/tests/daemon/process_tests.py
+++ b/sequoiaarch/tests/daemon/process_tests.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from ...__main__ import cli
-from ...bench.fleet import (
+from ...bench.cluster import (
     CALLER_KEY,
     MODEL,
     OPERATOR_KEY,
--- a/sequoiaarch/tests/engines/contract_tests.py
+++ b/sequoiaarch/tests/engines/contract_tests.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ...bench.fleet import free_port
+from ...bench.cluster import free_port
 from ...engines.http import HttpEngine, HttpService
 from ...engines.interfaces import (
     EngineAnswer,
--- a/sequoiaarch/tests/wire/links_tests.py
+++ b/sequoiaarch/tests/wire/links_tests.py
@@ -10,7 +10,7 @@
 import zmq
 import zmq.asyncio
 
-from ...bench.fleet import free_port
+from ...bench.cluster import free_port
 from ...errors import ErrorKind, NotRun
 from ...ids import TargetName
 from ...wire.links import CurveKeys, Link, Responder, Send
