--- a/sequoiaarch/bench/cluster.py
+++ b/sequoiaarch/bench/cluster.py
@@ -129,7 +129,7 @@
         self._process.wait(STOP_LIMIT)
 
 
-class Fleet:
+class Cluster:
     """Start, disturb and stop the processes of a deployment."""
 
     def __init__(self, *, deployment: Deployment) -> None:
--- a/sequoiaarch/bench/compare.py
+++ b/sequoiaarch/bench/compare.py
@@ -11,7 +11,7 @@
 import click
 import msgspec
 
-from .cluster import Deployment, Fleet
+from .cluster import Cluster, Deployment
 from .driver import ProgramResult, drive
 from .workload import kunene, plan, presupuesto
 
@@ -150,7 +150,7 @@
     return found
 
 
-def set_policy(fleet: Fleet, policy: dict[str, Any]) -> None:
+def set_policy(fleet: Cluster, policy: dict[str, Any]) -> None:
     """Switch all processes to a policy by publishing it."""
     weight = LATENCY_WEIGHTS[fleet.deployment.name]
     spec = {"latency_weight": weight, **policy}
@@ -166,7 +166,7 @@
     seed: int = SEED,
 ) -> list[Figures]:
     """Run all contenders at all loads on one fleet."""
-    fleet = Fleet(deployment=deployment)
+    fleet = Cluster(deployment=deployment)
     found = []
     try:
         fleet.start()
--- a/sequoiaarch/bench/cost.py
+++ b/sequoiaarch/bench/cost.py
@@ -17,7 +17,7 @@
 from ..client import Client
 from ..config.settings import LimitOptions
 from ..standins.engine import EngineOptions
-from .cluster import MODEL, Deployment, Fleet, Place
+from .cluster import MODEL, Cluster, Deployment, Place
 
 RESULTS = Path("results")
 MICROSECONDS = 1_000_000
@@ -54,9 +54,9 @@
     return Usage(seconds=seconds, resident=resident)
 
 
-def cost_fleet(options: EngineOptions) -> Fleet:
+def cost_fleet(options: EngineOptions) -> Cluster:
     """Return a gateway and two sidecars with an engine of given costs."""
-    return Fleet(
+    return Cluster(
         deployment=Deployment(
             name="cost",
             gateways=[Place(name="gateway-1", data_centre="here")],
@@ -157,7 +157,7 @@
         finally:
             fleet.stop()
 
-    def _stream_round(self, fleet: Fleet, count: int, idle: dict[str, int]) -> None:
+    def _stream_round(self, fleet: Cluster, count: int, idle: dict[str, int]) -> None:
         tokens = 150
         gaps = HdrHistogram(1, LONGEST, DIGITS)
         lock = threading.Lock()
@@ -201,7 +201,7 @@
         finally:
             fleet.stop()
 
-    def _call_round(self, fleet: Fleet, tokens: int, count: int = 40) -> None:
+    def _call_round(self, fleet: Cluster, tokens: int, count: int = 40) -> None:
         client = fleet.caller()
         text = "x" * (tokens * 4)
         program = f"size-{tokens}"
@@ -275,7 +275,7 @@
         finally:
             fleet.stop()
 
-    def _publications(self, fleet: Fleet) -> None:
+    def _publications(self, fleet: Cluster) -> None:
         histogram = HdrHistogram(1, LONGEST, DIGITS)
         urls = [fleet.processes[name].urls[0] for name in (*ROLES, "tools-1")]
         for number in range(20):
@@ -294,11 +294,11 @@
             value = histogram.get_value_at_percentile(share) / 1000
             self.note("publish to in force everywhere", "all", share, value, "ms")
 
-    def _usage(self, fleet: Fleet) -> dict[str, Usage]:
+    def _usage(self, fleet: Cluster) -> dict[str, Usage]:
         names = (*ROLES, "tools-1")
         return {name: usage_of(fleet.processes[name].pid) for name in names}
 
-    def _resident(self, fleet: Fleet) -> dict[str, int]:
+    def _resident(self, fleet: Cluster) -> dict[str, int]:
         return {name: one.resident for name, one in self._usage(fleet).items()}
 
 
--- a/sequoiaarch/bench/driver.py
+++ b/sequoiaarch/bench/driver.py
@@ -11,7 +11,7 @@
 import urllib3
 
 from ..client import Client, ClientError
-from .cluster import CALLER_KEY, MODEL, SERVICE, Fleet
+from .cluster import CALLER_KEY, MODEL, SERVICE, Cluster
 from .workload import CLIENT_DELAY, PlannedProgram, PlannedStep, StepKind, text_of
 
 GIVE_UP = 90.0
@@ -151,7 +151,9 @@
             self.result.problem = "could not be ended"
 
 
-def drive(fleet: Fleet, plan: list[PlannedProgram], prefix: str) -> list[ProgramResult]:
+def drive(
+    fleet: Cluster, plan: list[PlannedProgram], prefix: str
+) -> list[ProgramResult]:
     """Run all programs at their times and return how they went."""
     threading.stack_size(STACK_BYTES)
     clients = [
--- a/sequoiaarch/bench/soak.py
+++ b/sequoiaarch/bench/soak.py
@@ -26,7 +26,7 @@
 from ..config.settings import LimitOptions
 from ..standins.engine import ChatBody, ChatMessage, EngineOptions, Sequence
 from ..standins.platform import Faults
-from .cluster import CALLER_KEY, MODEL, SERVICE, WORKSPACE, Deployment, Fleet, Place
+from .cluster import CALLER_KEY, MODEL, SERVICE, WORKSPACE, Cluster, Deployment, Place
 
 CALLERS = 12
 TURNS = 4
@@ -229,7 +229,7 @@
 class Trouble:
     """Disturb a fleet at random from a seed."""
 
-    def __init__(self, *, fleet: Fleet, rng: random.Random, tally: Tally) -> None:
+    def __init__(self, *, fleet: Cluster, rng: random.Random, tally: Tally) -> None:
         self._fleet = fleet
         self._rng = rng
         self._tally = tally
@@ -334,7 +334,7 @@
     )
 
 
-def check_tools(fleet: Fleet, callers: list[SoakCaller], tally: Tally) -> None:
+def check_tools(fleet: Cluster, callers: list[SoakCaller], tally: Tally) -> None:
     """Compare what callers were told with what the tools ran."""
     runs: Counter[str] = Counter()
     for place in fleet.deployment.services:
@@ -352,7 +352,7 @@
         tally.violate(Property.NOT_RUN, f"{key} ran, its caller was never told")
 
 
-def check_memory(fleet: Fleet, callers: list[SoakCaller], tally: Tally) -> None:
+def check_memory(fleet: Cluster, callers: list[SoakCaller], tally: Tally) -> None:
     """Wait until no engine holds a program that has ended."""
     ended = {f"{WORKSPACE}:{name}" for caller in callers for name in caller.programs}
     deadline = time.monotonic() + MEMORY_LIMIT
@@ -372,7 +372,7 @@
 def run_soak(seconds: float, seed: int) -> None:
     """Run the soak, print its report, and exit non-zero on any violation."""
     tally = Tally()
-    fleet = Fleet(deployment=soak_deployment())
+    fleet = Cluster(deployment=soak_deployment())
     over = threading.Event()
     calm = threading.Event()
     begun = time.monotonic()
--- a/sequoiaarch/tests/daemon/process_tests.py
+++ b/sequoiaarch/tests/daemon/process_tests.py
@@ -16,8 +16,8 @@
     CALLER_KEY,
     MODEL,
     OPERATOR_KEY,
+    Cluster,
     Deployment,
-    Fleet,
     Place,
 )
 from ...client import Client
@@ -69,7 +69,7 @@
 
     def setUp(self) -> None:
         """Start the processes."""
-        self.fleet = Fleet(deployment=small_deployment())
+        self.fleet = Cluster(deployment=small_deployment())
         self.addCleanup(self.fleet.stop)
         self.fleet.start()
 
@@ -114,7 +114,7 @@
 
     def under_load(self, stopped: str, gateways: int) -> list[str]:
         """Stop a process under load; return what went wrong for callers."""
-        fleet = Fleet(deployment=small_deployment(gateways))
+        fleet = Cluster(deployment=small_deployment(gateways))
         self.addCleanup(fleet.stop)
         fleet.start()
         broken: list[str] = []
