--- a/sequoiaarch/bench/cluster.py
+++ b/sequoiaarch/bench/cluster.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Place:
+class Node:
     """Name a process and its data centre."""
 
     name: str
@@ -49,9 +49,9 @@
     """Describe what a deployment is made of; delays in seconds, one way."""
 
     name: str
-    gateways: list[Place]
-    engines: list[Place]
-    services: list[Place]
+    gateways: list[Node]
+    engines: list[Node]
+    services: list[Node]
     delay: float = 0.0
     options: EngineOptions = field(default_factory=EngineOptions)
     limits: LimitOptions = field(default_factory=LimitOptions)
@@ -178,7 +178,7 @@
         command = [sys.executable, "-m", "sequoiaarch.standins", kind, *arguments]
         self._launch(name, command)
 
-    def _daemon(self, place: Place, settings: dict[str, Any]) -> None:
+    def _daemon(self, place: Node, settings: dict[str, Any]) -> None:
         path = self._folder / f"{place.name}.jsonc"
         path.write_bytes(msgspec.json.encode(settings))
         module = "sequoiaarch.daemon"
@@ -194,7 +194,7 @@
         """Return what a process has logged."""
         return (self._folder / f"{name}.log").read_text()
 
-    def _common(self, place: Place) -> dict[str, Any]:
+    def _common(self, place: Node) -> dict[str, Any]:
         plan = self._deployment
         platform = self.processes["platform"].urls[0]
         others = {one.data_centre for one in [*plan.gateways, *plan.engines]}
@@ -209,7 +209,7 @@
             "logging": {"level": "info"},
         }
 
-    def _sidecar_settings(self, place: Place, inner: str) -> dict[str, Any]:
+    def _sidecar_settings(self, place: Node, inner: str) -> dict[str, Any]:
         return {
             **self._common(place),
             "role": "sidecar",
@@ -220,7 +220,7 @@
             },
         }
 
-    def _gateway_settings(self, place: Place) -> dict[str, Any]:
+    def _gateway_settings(self, place: Node) -> dict[str, Any]:
         return {
             **self._common(place),
             "role": "gateway",
@@ -265,7 +265,7 @@
         found.append({"kind": "Policy", "name": "default", "selector": {}, "spec": {}})
         return found
 
-    def _target(self, place: Place, kind: str, spec: dict[str, Any]) -> dict[str, Any]:
+    def _target(self, place: Node, kind: str, spec: dict[str, Any]) -> dict[str, Any]:
         return {
             "kind": "Target",
             "name": place.name,
--- a/sequoiaarch/bench/cost.py
+++ b/sequoiaarch/bench/cost.py
@@ -17,7 +17,7 @@
 from ..client import Client
 from ..config.settings import LimitOptions
 from ..standins.engine import EngineOptions
-from .cluster import MODEL, Cluster, Deployment, Place
+from .cluster import MODEL, Cluster, Deployment, Node
 
 RESULTS = Path("results")
 MICROSECONDS = 1_000_000
@@ -59,9 +59,9 @@
     return Cluster(
         deployment=Deployment(
             name="cost",
-            gateways=[Place(name="gateway-1", data_centre="here")],
-            engines=[Place(name="engine-1", data_centre="here")],
-            services=[Place(name="tools-1", data_centre="here")],
+            gateways=[Node(name="gateway-1", data_centre="here")],
+            engines=[Node(name="engine-1", data_centre="here")],
+            services=[Node(name="tools-1", data_centre="here")],
             options=options,
             limits=LimitOptions(cache_check=60.0),
         )
--- a/sequoiaarch/bench/soak.py
+++ b/sequoiaarch/bench/soak.py
@@ -26,7 +26,7 @@
 from ..config.settings import LimitOptions
 from ..standins.engine import ChatBody, ChatMessage, EngineOptions, Sequence
 from ..standins.platform import Faults
-from .cluster import CALLER_KEY, MODEL, SERVICE, WORKSPACE, Cluster, Deployment, Place
+from .cluster import CALLER_KEY, MODEL, SERVICE, WORKSPACE, Cluster, Deployment, Node
 
 CALLERS = 12
 TURNS = 4
@@ -325,9 +325,9 @@
     """Return two gateways, three engines and two services."""
     return Deployment(
         name="soak",
-        gateways=[Place(name=f"gateway-{n}", data_centre="here") for n in (1, 2)],
-        engines=[Place(name=f"engine-{n}", data_centre="here") for n in (1, 2, 3)],
-        services=[Place(name=f"tools-{n}", data_centre="here") for n in (1, 2)],
+        gateways=[Node(name=f"gateway-{n}", data_centre="here") for n in (1, 2)],
+        engines=[Node(name=f"engine-{n}", data_centre="here") for n in (1, 2, 3)],
+        services=[Node(name=f"tools-{n}", data_centre="here") for n in (1, 2)],
         options=EngineOptions(model=MODEL, step=0.004),
         limits=LimitOptions(lame_duck=0.2, cache_check=2.0, renew_after=400),
         silence_limit=1.5,
--- a/sequoiaarch/bench/workload.py
+++ b/sequoiaarch/bench/workload.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from ..standins.engine import CHARACTERS_A_TOKEN, EngineOptions
-from .cluster import MODEL, Deployment, Place
+from .cluster import MODEL, Deployment, Node
 
 BENCH_ENGINE = EngineOptions(
     model=MODEL,
@@ -66,13 +66,13 @@
     yard = ["gate", "bale-yard", "admin-wing"]
     return Deployment(
         name="kunene",
-        gateways=[Place(name=f"gateway-{dc}", data_centre=dc) for dc in yard],
+        gateways=[Node(name=f"gateway-{dc}", data_centre=dc) for dc in yard],
         engines=[
-            Place(name=f"inspection-{number + 1}", data_centre=yard[number % 3])
+            Node(name=f"inspection-{number + 1}", data_centre=yard[number % 3])
             for number in range(5)
         ],
         services=[
-            Place(name=f"desk-{number + 1}", data_centre=yard[number])
+            Node(name=f"desk-{number + 1}", data_centre=yard[number])
             for number in range(3)
         ],
         delay=0.0004,
@@ -85,9 +85,9 @@
     towns = ["quito-1", "quito-2", "cuenca", "ambato"]
     return Deployment(
         name="presupuesto",
-        gateways=[Place(name=f"gateway-{dc}", data_centre=dc) for dc in towns],
-        engines=[Place(name=f"forecast-{dc}", data_centre=dc) for dc in towns],
-        services=[Place(name=f"council-{dc}", data_centre=dc) for dc in towns],
+        gateways=[Node(name=f"gateway-{dc}", data_centre=dc) for dc in towns],
+        engines=[Node(name=f"forecast-{dc}", data_centre=dc) for dc in towns],
+        services=[Node(name=f"council-{dc}", data_centre=dc) for dc in towns],
         delay=0.0013,
         options=BENCH_ENGINE,
     )
--- a/sequoiaarch/tests/daemon/process_tests.py
+++ b/sequoiaarch/tests/daemon/process_tests.py
@@ -18,7 +18,7 @@
     OPERATOR_KEY,
     Cluster,
     Deployment,
-    Place,
+    Node,
 )
 from ...client import Client
 from ...config.documents import parse_documents
@@ -38,11 +38,11 @@
     return Deployment(
         name="small",
         gateways=[
-            Place(name=f"gateway-{number + 1}", data_centre="here")
+            Node(name=f"gateway-{number + 1}", data_centre="here")
             for number in range(gateways)
         ],
-        engines=[Place(name="engine-1", data_centre="here")],
-        services=[Place(name="tools-1", data_centre="there")],
+        engines=[Node(name="engine-1", data_centre="here")],
+        services=[Node(name="tools-1", data_centre="there")],
         options=EngineOptions(model=MODEL, step=0.002),
         limits=LimitOptions(lame_duck=0.3, drain_timeout=30.0),
     )
