--- a/sequoiaarch/standins/target.py
+++ b/sequoiaarch/standins/target.py
@@ -20,7 +20,7 @@
 
     request: RequestMessage
     writer: asyncio.StreamWriter
-    left: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
 
     def send(self, data: bytes) -> None:
         """Send bytes as they are."""
@@ -86,7 +86,7 @@
             pass
         finally:
             for exchange in running:
-                exchange.left.set()
+                exchange.disconnected.set()
             self._open.discard(writer)
 
     async def _behave(self, exchange: TargetExchange) -> None:
--- a/sequoiaarch/tests/platform/path_tests.py
+++ b/sequoiaarch/tests/platform/path_tests.py
@@ -116,7 +116,7 @@
                 await tool_answer(exchange)
                 return
             asked.set()
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
 
         await self.add_target("i-1", TOOLS, first_is_mute)
         await self.add_target("i-2", TOOLS, first_is_mute)
@@ -128,7 +128,7 @@
         """Ask nobody else where the request may have run and must not again."""
 
         async def mute(exchange: TargetExchange) -> None:
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
 
         first = await self.add_target("i-1", TOOLS, mute)
         second = await self.add_target("i-2", TOOLS, mute)
@@ -160,7 +160,7 @@
         """Give the final answer at the route's time limit."""
 
         async def hang(exchange: TargetExchange) -> None:
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
 
         target = await self.add_target("i-1", TOOLS, hang)
         daemon = await self.add_daemon("a")
@@ -169,7 +169,7 @@
         async with asyncio.timeout(10):
             while (await self.call(daemon, "/slow/x")).status != 504:
                 await asyncio.sleep(0.01)
-            await target.exchanges[0].left.wait()
+            await target.exchanges[0].disconnected.wait()
 
     async def test_older_configuration(self) -> None:
         """Keep the newest configuration when an older one is read again."""
--- a/sequoiaarch/tests/platform/soak/targets.py
+++ b/sequoiaarch/tests/platform/soak/targets.py
@@ -136,7 +136,7 @@
             exchange.reset()
             return
         if trouble is Trouble.MUTE:
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
             return
         headers = (("X-Attempt-Id", attempt), ("X-Server-Stamp", self._instance))
         await asyncio.sleep(EVENT_SECONDS)
