--- a/sequoiaarch/standins/keyed_store.py
+++ b/sequoiaarch/standins/keyed_store.py
@@ -71,7 +71,7 @@
         """Return a view of the store."""
         return KeyedStoreClient(store=self)
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drop all records but the newest of each key."""
         for topic in self._topics.values():
             topic.first = topic.end
--- a/sequoiaarch/tests/ledger/fault_injection_tests.py
+++ b/sequoiaarch/tests/ledger/fault_injection_tests.py
@@ -80,7 +80,7 @@
             faults.lost_answers = self.rng.randint(1, 3)
             faults.late = self.rng.choice((0.0, DELAY))
         elif kind == 3:
-            self.store.forget_history()
+            self.store.compact()
         elif kind == 4:
             for program in range(PROGRAMS):
                 partition = process.ledger.partition(_program(program))
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -151,7 +151,7 @@
         first = await self.ledger("a")
         await self.commit(first, "t1", None, b"in1", b"out1")
         await self.commit(first, "t2", "t1", b"in2", b"out2")
-        self.store.forget_history()
+        self.store.compact()
         fresh = await self.ledger("b")
         result = await fresh.history(PROGRAM, TurnId("t2"))
         self.assertEqual(prompt(result), b"in1out1in2out2")
@@ -161,7 +161,7 @@
         first = await self.ledger("a")
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in", b"out")
-        self.store.forget_history()
+        self.store.compact()
         result = await second.history(PROGRAM, TurnId("t1"))
         self.assertEqual(prompt(result), b"inout")
 
--- a/sequoiaarch/tests/platform/soak/faults.py
+++ b/sequoiaarch/tests/platform/soak/faults.py
@@ -175,7 +175,7 @@
         self._end()
 
     async def _store_forgets(self) -> None:
-        self._store.forget_history()
+        self._store.compact()
 
     async def _target_trouble(self) -> None:
         target = self._rng.choice(self._targets)
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -92,7 +92,7 @@
     async def test_history_dropped(self) -> None:
         """Tell records that are gone from a failure."""
         await self.append(0, KeyedRecord(key="k", value=b"v"))
-        self.http.store.forget_history()
+        self.http.store.compact()
         page = await self.log.read(PART, Offset(0), wait=0)
         self.assertIs(page, LogGap.TRIMMED)
 
