--- a/sequoiaarch/standins/platform.py
+++ b/sequoiaarch/standins/platform.py
@@ -14,7 +14,7 @@
 from .web import StandInServer, json_response
 
 MAX_WAIT = 30.0
-LOADS_A_MINUTE = 12
+LOADS_PER_MINUTE = 12
 
 
 class Faults(msgspec.Struct, kw_only=True):
@@ -185,8 +185,8 @@
         now = time.monotonic()
         self._loads = [due for due in self._loads if due > now - 60]
         wait = 0.0
-        if len(self._loads) >= LOADS_A_MINUTE:
-            wait = max(0.0, self._loads[-LOADS_A_MINUTE] + 60 - now)
+        if len(self._loads) >= LOADS_PER_MINUTE:
+            wait = max(0.0, self._loads[-LOADS_PER_MINUTE] + 60 - now)
         self._loads.append(now + wait)
         return json_response(ReserveReply(wait=wait))
 
--- a/sequoiaarch/tests/storage/contract_tests.py
+++ b/sequoiaarch/tests/storage/contract_tests.py
@@ -10,7 +10,7 @@
 
 from ...errors import ErrorKind, Failure
 from ...ids import HostName, Offset
-from ...standins.platform import LOADS_A_MINUTE, Faults, PlatformStandIn
+from ...standins.platform import LOADS_PER_MINUTE, Faults, PlatformStandIn
 from ...storage.http import HttpClient, HttpHostList, HttpLog, HttpWeightStore
 from ...storage.interfaces import AppendLog, HostState, Page
 from ...storage.memory import MemoryHostList, MemoryLog
@@ -196,8 +196,8 @@
         self.addCleanup(client.close)
         store = HttpWeightStore(client=client)
         waits = [
-            asyncio.run(store.reserve("m", "1")) for _ in range(LOADS_A_MINUTE + 1)
+            asyncio.run(store.reserve("m", "1")) for _ in range(LOADS_PER_MINUTE + 1)
         ]
-        self.assertEqual(waits[:-1], [0.0] * LOADS_A_MINUTE)
+        self.assertEqual(waits[:-1], [0.0] * LOADS_PER_MINUTE)
         assert not isinstance(waits[-1], Failure)
         self.assertGreater(waits[-1], 0)
