--- a/sequoiaarch/standins/keyed_store.py
+++ b/sequoiaarch/standins/keyed_store.py
@@ -26,13 +26,13 @@
 class StoreFaults:
     """Say how the store misbehaves towards one client; times in seconds.
 
-    `lost_answers` appends are carried out and not answered, and with `late`
+    `lost_replies` appends are carried out and not answered, and with `late`
     only that much later.
     """
 
     down: bool = False
     delay: float = 0.0
-    lost_answers: int = 0
+    lost_replies: int = 0
     late: float = 0.0
 
 
@@ -179,8 +179,8 @@
         """Append all records or none; return the offset of the first."""
         if await self._fails():
             return _refused("down")
-        if self.faults.lost_answers > 0:
-            self.faults.lost_answers -= 1
+        if self.faults.lost_replies > 0:
+            self.faults.lost_replies -= 1
             late = asyncio.create_task(
                 self._append_late(partition, records, writer, self.faults.late)
             )
--- a/sequoiaarch/tests/ledger/fault_injection_tests.py
+++ b/sequoiaarch/tests/ledger/fault_injection_tests.py
@@ -77,7 +77,7 @@
         elif kind == 1:
             faults.down = not faults.down
         elif kind == 2:
-            faults.lost_answers = self.rng.randint(1, 3)
+            faults.lost_replies = self.rng.randint(1, 3)
             faults.late = self.rng.choice((0.0, DELAY))
         elif kind == 3:
             self.store.compact()
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -181,7 +181,7 @@
         The late copy arrives after the retry and after the next turn.
         """
         first = await self.ledger("a")
-        self.clients["a"].faults.lost_answers = 1
+        self.clients["a"].faults.lost_replies = 1
         self.clients["a"].faults.late = 0.15
         await self.commit(first, "t1", None, b"in", b"out")
         await self.commit(first, "t2", "t1", b"in2", b"out2")
@@ -480,7 +480,7 @@
         assert isinstance(hold, Reservation)
         self.assertIs(await hold.verdict(), BudgetVerdict.FITS)
         before = hold.covered or 0
-        self.clients["a"].faults.lost_answers = 1
+        self.clients["a"].faults.lost_replies = 1
         covering = asyncio.create_task(hold.cover(before + 1))
         await asyncio.sleep(0)
         self.assertFalse(hold.granted)
