--- a/sequoiaarch/standins/keyed_store.py
+++ b/sequoiaarch/standins/keyed_store.py
@@ -26,14 +26,14 @@
 class StoreFaults:
     """Say how the store misbehaves towards one client; times in seconds.
 
-    `lost_replies` appends are carried out and not answered, and with `late`
+    `lost_replies` appends are carried out and not answered, and with `append_delay`
     only that much later.
     """
 
     down: bool = False
     delay: float = 0.0
     lost_replies: int = 0
-    late: float = 0.0
+    append_delay: float = 0.0
 
 
 @dataclass(kw_only=True)
@@ -182,7 +182,7 @@
         if self.faults.lost_replies > 0:
             self.faults.lost_replies -= 1
             late = asyncio.create_task(
-                self._append_late(partition, records, writer, self.faults.late)
+                self._append_late(partition, records, writer, self.faults.append_delay)
             )
             self._late.add(late)
             late.add_done_callback(self._late.discard)
--- a/sequoiaarch/tests/ledger/fault_injection_tests.py
+++ b/sequoiaarch/tests/ledger/fault_injection_tests.py
@@ -78,7 +78,7 @@
             faults.down = not faults.down
         elif kind == 2:
             faults.lost_replies = self.rng.randint(1, 3)
-            faults.late = self.rng.choice((0.0, DELAY))
+            faults.append_delay = self.rng.choice((0.0, DELAY))
         elif kind == 3:
             self.store.compact()
         elif kind == 4:
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -182,7 +182,7 @@
         """
         first = await self.ledger("a")
         self.clients["a"].faults.lost_replies = 1
-        self.clients["a"].faults.late = 0.15
+        self.clients["a"].faults.append_delay = 0.15
         await self.commit(first, "t1", None, b"in", b"out")
         await self.commit(first, "t2", "t1", b"in2", b"out2")
         await asyncio.sleep(0.25)
