--- a/sequoiaarch/commands/run.py
+++ b/sequoiaarch/commands/run.py
@@ -23,8 +23,10 @@
     except InvalidDocument as error:
         fail_invalid(str(path), error)
     lines: list[str] = []
-    say = lines.append if connection.as_json else click.echo
-    runner = ScriptRunner(client=connection.client, script=script, say=say)
+    write_line = lines.append if connection.as_json else click.echo
+    runner = ScriptRunner(
+        client=connection.client, script=script, write_line=write_line
+    )
     name = connection.ask(runner.run)
     answer = {"program": name, "trace_id": runner.trace_id, "lines": lines}
     connection.show(answer, [f"trace {runner.trace_id}"])
--- a/sequoiaarch/samples/demo.py
+++ b/sequoiaarch/samples/demo.py
@@ -72,7 +72,9 @@
     operator = Client(url=url, key=TRIAL_OPERATOR_KEY)
     for path in scripts:
         client = Client(url=url, key=TRIAL_KEY)
-        runner = ScriptRunner(client=client, script=load_script(path), say=click.echo)
+        runner = ScriptRunner(
+            client=client, script=load_script(path), write_line=click.echo
+        )
         runner.run()
         trace = operator.request("GET", f"/v1/admin/traces/{runner.trace_id}")
         click.echo("  trace:")
--- a/sequoiaarch/samples/runner.py
+++ b/sequoiaarch/samples/runner.py
@@ -18,10 +18,10 @@
 class ScriptRunner:
     """Run one program and tell what happens."""
 
-    def __init__(self, *, client: Client, script: Script, say: Say) -> None:
+    def __init__(self, *, client: Client, script: Script, write_line: Say) -> None:
         self._client = client
         self._script = script
-        self._say = say
+        self._say = write_line
         self.trace_id = secrets.token_hex(16)
 
     def run(self) -> str:
--- a/sequoiaarch/tests/daemon/process_tests.py
+++ b/sequoiaarch/tests/daemon/process_tests.py
@@ -80,7 +80,7 @@
             script = script.model_copy(update={"model": MODEL})
             lines: list[str] = []
             runner = ScriptRunner(
-                client=self.fleet.caller(), script=script, say=lines.append
+                client=self.fleet.caller(), script=script, write_line=lines.append
             )
             program = runner.run()
             path = f"/v1/admin/traces/{runner.trace_id}"
