--- a/sequoiaarch/samples/demo.py
+++ b/sequoiaarch/samples/demo.py
@@ -1,4 +1,4 @@
-"""Show the whole path in one process, with one program of each deployment."""
+"""Run sample programs through a whole system in one process."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from .runner import ScriptRunner
 from .script import load_script
 
-START_LIMIT = 30.0
+START_STOP_TIMEOUT = 30.0  # seconds
 
 
 class DemoSystem:
-    """Run a stand-alone system in a thread of its own."""
+    """Run a stand-alone system with its event loop in a background thread."""
 
     def __init__(self) -> None:
         self._settings = Settings(
@@ -32,32 +32,32 @@
         self._started = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._stopped: asyncio.Event | None = None
+        self._stop_requested: asyncio.Event | None = None
         self.port = 0
 
     def start(self) -> None:
-        """Start the system and wait until it answers."""
+        """Start the system and wait until it serves requests."""
         self._thread.start()
-        if not self._started.wait(START_LIMIT):
+        if not self._started.wait(START_STOP_TIMEOUT):
             raise click.ClickException("the system did not start")
 
     def stop(self) -> None:
-        """Stop the system in an orderly way."""
-        assert self._loop is not None and self._stopped is not None
-        self._loop.call_soon_threadsafe(self._stopped.set)
-        self._thread.join(START_LIMIT)
+        """Stop the system gracefully."""
+        assert self._loop is not None and self._stop_requested is not None
+        self._loop.call_soon_threadsafe(self._stop_requested.set)
+        self._thread.join(START_STOP_TIMEOUT)
 
     def _run(self) -> None:
         asyncio.run(self._main())
 
     async def _main(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._stopped = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         system = Standalone(settings=self._settings)
         await system.start()
         self.port = system.port
         self._started.set()
-        await self._stopped.wait()
+        await self._stop_requested.wait()
         await system.stop()
 
 
--- a/sequoiaarch/samples/runner.py
+++ b/sequoiaarch/samples/runner.py
@@ -1,4 +1,4 @@
-"""Run a script as the caller of a program would."""
+"""Run a sample script as a client of the gateway."""
 
 from __future__ import annotations
 
@@ -10,60 +10,62 @@
 from ..client import Client
 from .script import Script, Step, StepKind
 
-TRACE_VERSION = "00"
+TRACEPARENT_VERSION = "00"
 
-Say = Callable[[str], None]
+WriteLine = Callable[[str], None]
 
 
 class ScriptRunner:
-    """Run one program and tell what happens."""
+    """Run one program and write a line for each step."""
 
-    def __init__(self, *, client: Client, script: Script, write_line: Say) -> None:
+    def __init__(
+        self, *, client: Client, script: Script, write_line: WriteLine
+    ) -> None:
         self._client = client
         self._script = script
-        self._say = write_line
+        self._write_line = write_line
         self.trace_id = secrets.token_hex(16)
 
     def run(self) -> str:
-        """Run the whole program and return its identifier."""
+        """Run all steps, end the program and return its identifier."""
         body: dict[str, Any] = {"model": self._script.model}
         if self._script.budget is not None:
             body["budget"] = self._script.budget
-        program = self._client.request("POST", "/v1/programs", body, patient=True)
-        name = program["id"]
-        self._say(f"{self._script.title}: program {name}")
-        self._steps(name, self._script.steps, "")
-        final = self._client.request("DELETE", f"/v1/programs/{name}", patient=True)
-        self._say(
+        created = self._client.request("POST", "/v1/programs", body, patient=True)
+        program = created["id"]
+        self._write_line(f"{self._script.title}: program {program}")
+        self._run_steps(program, self._script.steps, "")
+        final = self._client.request("DELETE", f"/v1/programs/{program}", patient=True)
+        self._write_line(
             f"  ended, {final['committed_seq']} calls kept, "
             f"{final['spent']} of {final['budget']} tokens spent"
         )
-        return name
+        return program
 
-    def _headers(self, **more: str) -> dict[str, str]:
+    def _headers(self, **extra: str) -> dict[str, str]:
         parent = secrets.token_hex(8)
         return {
-            "traceparent": f"{TRACE_VERSION}-{self.trace_id}-{parent}-01",
-            **{name.replace("_", "-"): value for name, value in more.items()},
+            "traceparent": f"{TRACEPARENT_VERSION}-{self.trace_id}-{parent}-01",
+            **{name.replace("_", "-"): value for name, value in extra.items()},
         }
 
-    def _steps(self, program: str, steps: list[Step], indent: str) -> None:
+    def _run_steps(self, program: str, steps: list[Step], indent: str) -> None:
         messages: list[dict[str, Any]] = [
             {"role": "system", "content": self._script.system}
         ]
-        for number, step in enumerate(steps, start=1):
+        for step_number, step in enumerate(steps, start=1):
             match step.kind:
                 case StepKind.SAY:
-                    self._chat(program, step, messages, indent)
+                    self._run_chat(program, step, messages, indent)
                 case StepKind.TOOL:
-                    self._tool(program, step, number, indent)
+                    self._call_tool(program, step, step_number, indent)
                 case StepKind.PAUSE:
-                    self._say(f"{indent}  pause of {step.seconds} s")
+                    self._write_line(f"{indent}  pause of {step.seconds} s")
                     time.sleep(step.seconds)
                 case StepKind.CHILD:
-                    self._child(program, step, indent)
+                    self._run_child(program, step, indent)
 
-    def _chat(
+    def _run_chat(
         self, program: str, step: Step, messages: list[dict[str, Any]], indent: str
     ) -> None:
         messages.append({"role": "user", "content": step.text})
@@ -80,27 +82,29 @@
                 parts.append(choice["delta"].get("content") or "")
         text = "".join(parts)
         messages.append({"role": "assistant", "content": text})
-        self._say(f"{indent}  user: {step.text}")
-        self._say(f"{indent}  answer: {text.strip()}")
+        self._write_line(f"{indent}  user: {step.text}")
+        self._write_line(f"{indent}  answer: {text.strip()}")
 
-    def _tool(self, program: str, step: Step, number: int, indent: str) -> None:
-        key = f"{program}-{number}"
+    def _call_tool(
+        self, program: str, step: Step, step_number: int, indent: str
+    ) -> None:
+        key = f"{program}-{step_number}"
         headers = self._headers(Idempotency_Key=key)
         if step.once:
             headers["X-Non-Idempotent"] = "true"
         path = f"/v1/programs/{program}/tools/{step.service}/{step.path}"
         answer = self._client.request("POST", path, step.body, headers, patient=True)
         kind = "non-idempotent tool" if step.once else "tool"
-        self._say(f"{indent}  {kind} {step.service}/{step.path}: {answer}")
+        self._write_line(f"{indent}  {kind} {step.service}/{step.path}: {answer}")
 
-    def _child(self, program: str, step: Step, indent: str) -> None:
+    def _run_child(self, program: str, step: Step, indent: str) -> None:
         child = self._client.request(
             "POST",
             f"/v1/programs/{program}/programs",
             {"budget": step.budget},
             patient=True,
         )
-        self._say(f"{indent}  sub-agent {child['id']} with {step.budget} tokens")
-        self._steps(child["id"], step.steps, indent + "  ")
+        self._write_line(f"{indent}  sub-agent {child['id']} with {step.budget} tokens")
+        self._run_steps(child["id"], step.steps, indent + "  ")
         path = f"/v1/programs/{child['id']}"
         self._client.request("DELETE", path, patient=True)
--- a/sequoiaarch/samples/script.py
+++ b/sequoiaarch/samples/script.py
@@ -1,4 +1,4 @@
-"""Declare the steps of a sample program."""
+"""Define the file format of sample programs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class StepKind(Enum):
-    """Name what a step does."""
+    """Kind of a step: model call, tool call, pause or sub-agent."""
 
     SAY = "say"
     TOOL = "tool"
@@ -21,7 +21,7 @@
 
 
 class Step(Options):
-    """Do one thing; which fields count depends on the kind."""
+    """One step of a program; its kind determines which fields are used."""
 
     kind: StepKind
     text: str = ""
@@ -36,7 +36,7 @@
 
 
 class Script(Options):
-    """Describe one sample program."""
+    """Sample program: its model, system prompt, budget in tokens and steps."""
 
     title: str
     model: str
@@ -46,5 +46,5 @@
 
 
 def load_script(path: Path) -> Script:
-    """Return the script that a file holds."""
+    """Load and validate the script in a JSONC file."""
     return validate(Script, load_jsonc(path))
