--- a/sequoiaarch/bench/workload.py
+++ b/sequoiaarch/bench/workload.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from ..standins.engine import CHARACTERS_A_TOKEN, EngineOptions
+from ..standins.engine import CHARACTERS_PER_TOKEN, EngineOptions
 from .cluster import MODEL, Deployment, Node
 
 BENCH_ENGINE = EngineOptions(
@@ -198,4 +198,6 @@
 def text_of(tokens: int, seed: int) -> str:
     """Return a text that the stand-in counts as so many tokens."""
     head = f"{seed:08x} "
-    return (head + "x" * (tokens * CHARACTERS_A_TOKEN))[: tokens * CHARACTERS_A_TOKEN]
+    return (head + "x" * (tokens * CHARACTERS_PER_TOKEN))[
+        : tokens * CHARACTERS_PER_TOKEN
+    ]
--- a/sequoiaarch/standins/__init__.py
+++ b/sequoiaarch/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the systems outside, in trials and tests only."""
+"""Simulate external systems, for trials and tests only."""
--- a/sequoiaarch/standins/__main__.py
+++ b/sequoiaarch/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in as a process of its own."""
+"""Run one stand-in as a separate process."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 
 
 class StandIn(Protocol):
-    """Start, stop and name any stand-in."""
+    """Interface of all stand-in servers."""
 
     @property
     def url(self) -> str:
         """Return the base URL."""
 
     def start(self) -> None:
-        """Start to answer."""
+        """Start the server."""
 
     def stop(self) -> None:
-        """Stop to answer."""
+        """Stop the server."""
 
 
 def serve(stand_in: StandIn) -> None:
     """Run a stand-in until SIGTERM or SIGINT."""
     stopped = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: stopped.set())
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stopped.set())
     stand_in.start()
     click.echo(f"listening {stand_in.url}")
     stopped.wait()
@@ -56,8 +56,8 @@
 @click.option("--options", default="{}", help="Costs of the engine, as JSON.")
 def engine(port: int, options: str) -> None:
     """Serve a fake model engine."""
-    costs = msgspec.json.decode(options, type=EngineOptions)
-    serve(EngineStandIn(options=costs, port=port))
+    engine_options = msgspec.json.decode(options, type=EngineOptions)
+    serve(EngineStandIn(options=engine_options, port=port))
 
 
 @main.command()
--- a/sequoiaarch/standins/engine.py
+++ b/sequoiaarch/standins/engine.py
@@ -1,8 +1,8 @@
-"""Stand in for a model engine.
+"""Simulate a model engine with continuous batching.
 
-It batches continuously: each step decodes one token group for every running
-sequence and prefills a bounded number of prompt tokens. Prefixes stay cached
-in limited memory, least recently used first out.
+Each step decodes one group of tokens for every running sequence and prefills a
+bounded number of prompt tokens. Prefixes are cached in limited memory with
+least-recently-used eviction.
 """
 
 from __future__ import annotations
@@ -22,16 +22,25 @@
 
 from .web import StandInServer, json_response
 
-CHARACTERS_A_TOKEN = 4
-MESSAGE_TOKENS = 4
+CHARACTERS_PER_TOKEN = 4
+MESSAGE_TOKENS = 4  # overhead of each message
 DEFAULT_ANSWER_TOKENS = 24
-EVENTS_KEPT = 256
-STREAMS_KEPT = 64
+MAX_CACHE_EVENTS = 256
+RESUMABLE_STREAMS = 64  # in units of 8 streams
 WORDS = ("ash", "bay", "cod", "dew", "elm", "fir", "gum", "hay", "ivy", "jet")
 
 
 class EngineOptions(msgspec.Struct, frozen=True, kw_only=True):
-    """Set the costs of the engine; times in seconds, rates a second."""
+    """Capacity, speed and delays of the engine.
+
+    Times are in seconds, rates in tokens per second, capacities in tokens.
+
+    A step takes `step` seconds and `step_share` more for each running sequence. It
+    prefills up to `prefill_chunk` tokens and decodes `group` tokens per sequence.
+    `host_tokens` limits exported prefixes. The reported load is `load_lag` old, and
+    cache events are visible after `event_lag`; with `event_gap`, those whose number
+    is a multiple of it are lost.
+    """
 
     model: str = "stand-in"
     slots: int = 8
@@ -50,7 +59,7 @@
 
 
 class Hints(msgspec.Struct, frozen=True, kw_only=True):
-    """Tell the stand-in what to answer."""
+    """What the engine answers, as set by the `stand_in` field of a request."""
 
     answer_tokens: int | None = None
     tool: str | None = None
@@ -58,14 +67,14 @@
 
 
 class ChatMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """Read what counts of a message."""
+    """The fields of a chat message that the engine uses."""
 
     role: str
     content: Any = None
 
 
 class ChatBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Read what counts of a chat request."""
+    """The fields of a chat request that the engine uses."""
 
     messages: list[ChatMessage]
     model: str = ""
@@ -75,7 +84,7 @@
 
 
 class Phase(Enum):
-    """Say how far a sequence has come."""
+    """Progress of a sequence."""
 
     WAITING = "waiting"
     PREFILL = "prefill"
@@ -84,7 +93,7 @@
 
 
 class Sequence:
-    """Hold one request under way."""
+    """A request in the batch, with its prompt and the answer so far."""
 
     def __init__(self, *, body: ChatBody, key: str, stream: str, order: int) -> None:
         self.key = key
@@ -94,57 +103,64 @@
         self.model = body.model
         self.hints = body.stand_in
         self.digests: list[str] = []
-        self.sizes: list[int] = []
-        chain = xxhash.xxh3_64()
+        self.message_tokens: list[int] = []
+        prefix_hash = xxhash.xxh3_64()
         for message in body.messages:
             text = str(message.content or "")
-            chain.update(f"{message.role}\0{text}\0".encode())
-            self.digests.append(chain.hexdigest())
-            self.sizes.append(len(text) // CHARACTERS_A_TOKEN + MESSAGE_TOKENS)
-        self.prompt = sum(self.sizes)
-        wanted = self.hints.answer_tokens or DEFAULT_ANSWER_TOKENS
-        limit = body.max_tokens or wanted
-        self.wanted = wanted if self.hints.ignore_limit else min(wanted, limit)
-        self.seed = chain.intdigest()
-        self._chain = chain
-        self.cached = 0
-        self.prefilled = 0
-        self.decoded = 0
+            prefix_hash.update(f"{message.role}\0{text}\0".encode())
+            self.digests.append(prefix_hash.hexdigest())
+            self.message_tokens.append(
+                len(text) // CHARACTERS_PER_TOKEN + MESSAGE_TOKENS
+            )
+        self.prompt_tokens = sum(self.message_tokens)
+        requested = self.hints.answer_tokens or DEFAULT_ANSWER_TOKENS
+        limit = body.max_tokens or requested
+        self.answer_tokens = (
+            requested if self.hints.ignore_limit else min(requested, limit)
+        )
+        self.seed = prefix_hash.intdigest()
+        self._prefix_hash = prefix_hash
+        self.cached_tokens = 0
+        self.prefilled_tokens = 0
+        self.decoded_tokens = 0
         self.phase = Phase.WAITING
         self.cancelled = False
-        self.pieces: list[str] = []
+        self.chunks: list[str] = []
         self.events: queue.SimpleQueue[int | None] = queue.SimpleQueue()
 
     @property
-    def held(self) -> int:
-        """Return the tokens of memory that the sequence needs at its end."""
-        return self.prompt + self.wanted
+    def reserved_tokens(self) -> int:
+        """Return the tokens of cache memory that the complete sequence needs."""
+        return self.prompt_tokens + self.answer_tokens
 
-    def answer_link(self) -> tuple[str, int]:
-        """Return the digest and the size that the answer adds to the prefix."""
-        text = "".join(self.pieces)
-        chain = self._chain.copy()
-        chain.update(f"assistant\0{text}\0".encode())
-        return chain.hexdigest(), len(text) // CHARACTERS_A_TOKEN + MESSAGE_TOKENS
+    def extended_prefix(self) -> tuple[str, int]:
+        """Return the digest of the prefix with the answer, and the answer's tokens."""
+        text = "".join(self.chunks)
+        full_hash = self._prefix_hash.copy()
+        full_hash.update(f"assistant\0{text}\0".encode())
+        return full_hash.hexdigest(), len(text) // CHARACTERS_PER_TOKEN + MESSAGE_TOKENS
 
     def text(self, start: int, count: int) -> str:
-        """Return the words at places of the answer, always the same."""
+        """Return `count` words of the answer, which depends on the prompt only."""
         words = (
-            WORDS[(self.seed + 7 * place) % len(WORDS)]
-            for place in range(start, start + count)
+            WORDS[(self.seed + 7 * position) % len(WORDS)]
+            for position in range(start, start + count)
         )
         return "".join(word + " " for word in words)
 
 
 class CacheEntry(msgspec.Struct, kw_only=True):
-    """Hold the cached prefix of one key."""
+    """Cached prefix of one key, with a digest for each message."""
 
     digests: list[str]
     tokens: int
 
 
 class EngineStandIn:
-    """Serve chat completions from a fake engine."""
+    """Serve chat completions from a simulated engine.
+
+    The next `cut_streams` responses are cut off after three events.
+    """
 
     def __init__(self, *, options: EngineOptions, port: int = 0) -> None:
         self.options = options
@@ -160,29 +176,29 @@
         self._exported: dict[str, CacheEntry] = {}
         self._streams: OrderedDict[str, Sequence] = OrderedDict()
         self._events: list[tuple[float, int, str, str]] = []
-        self._loads: list[tuple[float, int, int]] = [(0.0, 0, 0)]
-        self._fence = 0
+        self._load_samples: list[tuple[float, int, int]] = [(0.0, 0, 0)]
+        self._highest_fencing_token = 0
         self._orders: list[str] = []
-        self._numbers = itertools.count()
+        self._counter = itertools.count()
         self._stopped = False
         self._server = StandInServer(
             routes=[
-                ("POST", "/v1/chat/completions", self._complete),
-                ("GET", "/v1/streams/<stream>", self._resume),
-                ("DELETE", "/v1/streams/<stream>", self._cancel),
-                ("GET", "/v1/load", self._load),
+                ("POST", "/v1/chat/completions", self._complete_chat),
+                ("GET", "/v1/streams/<stream>", self._resume_stream),
+                ("DELETE", "/v1/streams/<stream>", self._cancel_stream),
+                ("GET", "/v1/load", self._report_load),
                 ("GET", "/v1/cache", self._list_cache),
                 ("GET", "/v1/cache/events", self._cache_events),
-                ("DELETE", "/v1/cache/<key>", self._free),
-                ("POST", "/v1/cache/<key>/export", self._export),
-                ("POST", "/v1/cache/<key>/import", self._import),
-                ("POST", "/v1/orders", self._order),
+                ("DELETE", "/v1/cache/<key>", self._free_cached),
+                ("POST", "/v1/cache/<key>/export", self._export_cached),
+                ("POST", "/v1/cache/<key>/import", self._import_cached),
+                ("POST", "/v1/orders", self._accept_order),
                 ("GET", "/v1/orders", self._list_orders),
                 ("GET", "/v1/statistics", self._statistics),
             ],
             port=port,
         )
-        self._loop = threading.Thread(target=self._run, daemon=True)
+        self._batch_thread = threading.Thread(target=self._run_batches, daemon=True)
 
     @property
     def url(self) -> str:
@@ -191,25 +207,25 @@
 
     @property
     def cache_keys(self) -> list[str]:
-        """Return the keys whose prefixes are held."""
+        """Return the keys whose prefixes are cached or exported."""
         with self._lock:
             return list(self._cache) + list(self._exported)
 
     def start(self) -> None:
-        """Start to answer."""
+        """Start the server and the batch thread."""
         self._server.start()
-        self._loop.start()
+        self._batch_thread.start()
 
     def stop(self) -> None:
-        """Stop to answer."""
+        """Stop the server and the batch thread."""
         with self._lock:
             self._stopped = True
             self._lock.notify_all()
         self._server.stop()
 
-    # The batch.
+    # Batching and the cache.
 
-    def _run(self) -> None:
+    def _run_batches(self) -> None:
         while True:
             with self._lock:
                 while not self._waiting and not self._running:
@@ -219,154 +235,173 @@
                 if self._stopped:
                     return
                 self._admit()
-                cost = self._step()
-            time.sleep(cost)
+                duration = self._step()
+            time.sleep(duration)
 
     def _admit(self) -> None:
-        self._waiting = [one for one in self._waiting if not one.cancelled]
-        self._waiting.sort(key=lambda one: (one.priority, one.order))
+        self._waiting = [
+            sequence for sequence in self._waiting if not sequence.cancelled
+        ]
+        self._waiting.sort(key=lambda sequence: (sequence.priority, sequence.order))
         while self._waiting and len(self._running) < self.options.slots:
-            first = self._waiting[0]
-            if not self._make_room(first):
+            candidate = self._waiting[0]
+            if not self._evict_for(candidate):
                 return
             self._waiting.pop(0)
-            self._begin(first)
+            self._start_sequence(candidate)
 
-    def _make_room(self, sequence: Sequence) -> bool:
-        used = sum(one.held for one in self._running) + sequence.held
+    def _evict_for(self, sequence: Sequence) -> bool:
+        """Evict prefixes for a sequence; return False if running ones leave no room."""
+        used = (
+            sum(other.reserved_tokens for other in self._running)
+            + sequence.reserved_tokens
+        )
         if used > self.options.cache_tokens and self._running:
             return False
-        own = self._cache.get(sequence.key)
-        room = self.options.cache_tokens - used + (own.tokens if own else 0)
-        while sum(e.tokens for e in self._cache.values()) > max(room, 0):
-            victim = next((k for k in self._cache if k != sequence.key), None)
-            if victim is None:
+        own_entry = self._cache.get(sequence.key)
+        available = (
+            self.options.cache_tokens - used + (own_entry.tokens if own_entry else 0)
+        )
+        while sum(entry.tokens for entry in self._cache.values()) > max(available, 0):
+            evicted_key = next(
+                (key for key in self._cache if key != sequence.key), None
+            )
+            if evicted_key is None:
                 return True
-            self._evict(victim, "evicted")
+            self._remove_cached(evicted_key, "evicted")
         return True
 
-    def _begin(self, sequence: Sequence) -> None:
+    def _start_sequence(self, sequence: Sequence) -> None:
         entry = self._cache.pop(sequence.key, None)
         if entry is not None:
-            matched = 0
-            for ours, theirs in zip(sequence.digests, entry.digests, strict=False):
-                if ours != theirs:
+            matched_messages = 0
+            for digest, cached_digest in zip(
+                sequence.digests, entry.digests, strict=False
+            ):
+                if digest != cached_digest:
                     break
-                matched += 1
-            sequence.cached = sum(sequence.sizes[:matched])
-        sequence.prefilled = sequence.cached
+                matched_messages += 1
+            sequence.cached_tokens = sum(sequence.message_tokens[:matched_messages])
+        sequence.prefilled_tokens = sequence.cached_tokens
         sequence.phase = Phase.PREFILL
-        self.prompt_tokens += sequence.prompt
-        self.cached_tokens += sequence.cached
+        self.prompt_tokens += sequence.prompt_tokens
+        self.cached_tokens += sequence.cached_tokens
         self._running.append(sequence)
 
     def _step(self) -> float:
+        """Advance all running sequences and return the seconds that this takes."""
         options = self.options
-        budget = options.prefill_chunk
-        cost = options.step + options.step_share * len(self._running)
+        prefill_budget = options.prefill_chunk
+        duration = options.step + options.step_share * len(self._running)
         for sequence in list(self._running):
             if sequence.cancelled:
-                self._finish(sequence)
+                self._finish_sequence(sequence)
             elif sequence.phase is Phase.PREFILL:
-                work = min(budget, sequence.prompt - sequence.prefilled)
-                sequence.prefilled += work
-                budget -= work
-                cost += work / options.prefill_rate
-                if sequence.prefilled >= sequence.prompt:
+                prefill_tokens = min(
+                    prefill_budget, sequence.prompt_tokens - sequence.prefilled_tokens
+                )
+                sequence.prefilled_tokens += prefill_tokens
+                prefill_budget -= prefill_tokens
+                duration += prefill_tokens / options.prefill_rate
+                if sequence.prefilled_tokens >= sequence.prompt_tokens:
                     sequence.phase = Phase.DECODE
             else:
                 self._decode(sequence)
-        self._note_load()
-        return cost
+        self._record_load()
+        return duration
 
     def _decode(self, sequence: Sequence) -> None:
-        count = min(self.options.group, sequence.wanted - sequence.decoded)
-        sequence.pieces.append(sequence.text(sequence.decoded, count))
-        sequence.decoded += count
-        sequence.events.put(len(sequence.pieces))
-        if sequence.decoded >= sequence.wanted:
-            self._finish(sequence)
-
-    def _finish(self, sequence: Sequence) -> None:
+        count = min(
+            self.options.group, sequence.answer_tokens - sequence.decoded_tokens
+        )
+        sequence.chunks.append(sequence.text(sequence.decoded_tokens, count))
+        sequence.decoded_tokens += count
+        sequence.events.put(len(sequence.chunks))
+        if sequence.decoded_tokens >= sequence.answer_tokens:
+            self._finish_sequence(sequence)
+
+    def _finish_sequence(self, sequence: Sequence) -> None:
         self._running.remove(sequence)
         sequence.phase = Phase.ENDED
         sequence.events.put(None)
         if sequence.cancelled:
             return
-        # The next prompt repeats the answer, so the answer is cached too.
-        digest, size = sequence.answer_link()
+        # The next prompt includes the answer.
+        digest, size = sequence.extended_prefix()
         entry = CacheEntry(
             digests=[*sequence.digests, digest],
-            tokens=sequence.prompt + size,
+            tokens=sequence.prompt_tokens + size,
         )
         self._cache[sequence.key] = entry
-        self._event(sequence.key, "stored")
+        self._record_event(sequence.key, "stored")
 
-    def _evict(self, key: str, what: str) -> None:
+    def _remove_cached(self, key: str, event: str) -> None:
         self._cache.pop(key, None)
-        self._event(key, what)
+        self._record_event(key, event)
 
-    def _event(self, key: str, what: str) -> None:
-        number = next(self._numbers)
-        self.event_counts[what] += 1
+    def _record_event(self, key: str, event: str) -> None:
+        number = next(self._counter)
+        self.event_counts[event] += 1
         gap = self.options.event_gap
         if gap and number % gap == 0:
             return
-        due = time.monotonic() + self.options.event_lag
-        self._events.append((due, number, what, key))
-        del self._events[:-EVENTS_KEPT]
+        visible_at = time.monotonic() + self.options.event_lag
+        self._events.append((visible_at, number, event, key))
+        del self._events[:-MAX_CACHE_EVENTS]
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now = time.monotonic()
-        self._loads.append((now, len(self._running), len(self._waiting)))
-        horizon = now - self.options.load_lag
-        while len(self._loads) > 1 and self._loads[1][0] <= horizon:
-            self._loads.pop(0)
+        self._load_samples.append((now, len(self._running), len(self._waiting)))
+        cutoff = now - self.options.load_lag
+        while len(self._load_samples) > 1 and self._load_samples[1][0] <= cutoff:
+            self._load_samples.pop(0)
 
-    # Answers over HTTP.
+    # HTTP handlers.
 
-    def _complete(self, request: Request) -> Response:
+    def _complete_chat(self, request: Request) -> Response:
         try:
             body = msgspec.json.decode(request.get_data(), type=ChatBody)
         except msgspec.ValidationError as error:
             return json_response({"error": {"message": str(error)}}, 400)
         key = request.headers.get("X-Cache-Key", "")
         with self._lock:
-            number = next(self._numbers)
+            number = next(self._counter)
             stream = request.headers.get("X-Stream-Id", f"stream-{number}")
             sequence = Sequence(body=body, key=key, stream=stream, order=number)
             self.requests += 1
             self._streams[stream] = sequence
-            while len(self._streams) > STREAMS_KEPT * 8:
+            while len(self._streams) > RESUMABLE_STREAMS * 8:
                 self._streams.popitem(last=False)
             self._waiting.append(sequence)
             self._lock.notify_all()
-        return self._answer(sequence, 0)
+        return self._stream_response(sequence, 0)
 
-    def _resume(self, request: Request, stream: str) -> Response:
+    def _resume_stream(self, request: Request, stream: str) -> Response:
         sequence = self._streams.get(stream)
         if sequence is None:
             return json_response({"error": {"message": "no such stream"}}, 404)
-        return self._answer(sequence, int(request.args.get("from", "0")))
+        return self._stream_response(sequence, int(request.args.get("from", "0")))
 
-    def _answer(self, sequence: Sequence, start: int) -> Response:
-        cut = None
+    def _stream_response(self, sequence: Sequence, start: int) -> Response:
+        cut_at = None
         if self.cut_streams > 0:
             self.cut_streams -= 1
-            cut = start + 3
-        events = self._stream(sequence, start, cut)
+            cut_at = start + 3
+        events = self._generate_events(sequence, start, cut_at)
         return Response(events, mimetype="text/event-stream")
 
-    def _stream(
-        self, sequence: Sequence, start: int, cut: int | None
+    def _generate_events(
+        self, sequence: Sequence, start: int, cut_at: int | None
     ) -> Iterator[bytes]:
         sent = start
         while True:
             ended = sequence.phase is Phase.ENDED
-            while sent < len(sequence.pieces):
-                if cut is not None and sent >= cut:
-                    raise ConnectionResetError("cut by the test")
-                yield self._chunk(sequence, sequence.pieces[sent])
+            while sent < len(sequence.chunks):
+                if cut_at is not None and sent >= cut_at:
+                    raise ConnectionResetError(
+                        "the stream was cut by an injected fault"
+                    )
+                yield self._content_event(sequence, sequence.chunks[sent])
                 sent += 1
             if ended:
                 break
@@ -375,14 +410,14 @@
             except queue.Empty:
                 if self._stopped:
                     raise ConnectionResetError("the engine stopped") from None
-        yield self._last(sequence)
+        yield self._final_event(sequence)
         yield b"data: [DONE]\n\n"
 
-    def _chunk(self, sequence: Sequence, text: str) -> bytes:
+    def _content_event(self, sequence: Sequence, text: str) -> bytes:
         choice = {"index": 0, "delta": {"content": text}, "finish_reason": None}
-        return _event_bytes(sequence, [choice], None)
+        return _encode_event(sequence, [choice], None)
 
-    def _last(self, sequence: Sequence) -> bytes:
+    def _final_event(self, sequence: Sequence) -> bytes:
         delta: dict[str, Any] = {}
         reason = "stop"
         if sequence.cancelled:
@@ -397,15 +432,15 @@
             }
             delta = {"tool_calls": [call]}
         usage = {
-            "prompt_tokens": sequence.prompt,
-            "completion_tokens": sequence.decoded,
-            "total_tokens": sequence.prompt + sequence.decoded,
-            "prompt_tokens_details": {"cached_tokens": sequence.cached},
+            "prompt_tokens": sequence.prompt_tokens,
+            "completion_tokens": sequence.decoded_tokens,
+            "total_tokens": sequence.prompt_tokens + sequence.decoded_tokens,
+            "prompt_tokens_details": {"cached_tokens": sequence.cached_tokens},
         }
         choice = {"index": 0, "delta": delta, "finish_reason": reason}
-        return _event_bytes(sequence, [choice], usage)
+        return _encode_event(sequence, [choice], usage)
 
-    def _cancel(self, request: Request, stream: str) -> Response:
+    def _cancel_stream(self, request: Request, stream: str) -> Response:
         sequence = self._streams.get(stream)
         if sequence is not None:
             with self._lock:
@@ -415,11 +450,11 @@
                     sequence.events.put(None)
         return json_response({})
 
-    def _load(self, request: Request) -> Response:
+    def _report_load(self, request: Request) -> Response:
         with self._lock:
             if not self._running and not self._waiting:
-                self._note_load()
-            _, running, waiting = self._loads[0]
+                self._record_load()
+            _, running, waiting = self._load_samples[0]
         return json_response({"running": running, "waiting": waiting})
 
     def _list_cache(self, request: Request) -> Response:
@@ -433,55 +468,59 @@
         now = time.monotonic()
         with self._lock:
             events = [
-                {"number": number, "what": what, "key": key}
-                for due, number, what, key in self._events
-                if due <= now and number >= start
+                {"number": number, "what": event, "key": key}
+                for visible_at, number, event, key in self._events
+                if visible_at <= now and number >= start
             ]
         return json_response(events)
 
-    def _fenced(self, request: Request) -> bool:
-        """Return whether the order carries an old fencing number."""
+    def _has_stale_fencing_token(self, request: Request) -> bool:
+        """Return whether the fencing token is lower than that of an earlier request."""
         number = int(request.headers.get("X-Fencing", "0"))
         if not self.options.checks_fencing:
             return False
-        if number < self._fence:
+        if number < self._highest_fencing_token:
             return True
-        self._fence = number
+        self._highest_fencing_token = number
         return False
 
-    def _free(self, request: Request, key: str) -> Response:
+    def _free_cached(self, request: Request, key: str) -> Response:
         with self._lock:
-            self._evict(key, "freed")
+            self._remove_cached(key, "freed")
             self._exported.pop(key, None)
         return json_response({})
 
-    def _export(self, request: Request, key: str) -> Response:
+    def _export_cached(self, request: Request, key: str) -> Response:
         with self._lock:
             entry = self._cache.pop(key, None)
             if entry is None:
                 return json_response({"error": {"message": "not cached"}}, 404)
-            held = sum(one.tokens for one in self._exported.values())
-            if held + entry.tokens > self.options.host_tokens:
-                self._event(key, "evicted")
-                return json_response({"error": {"message": "no room"}}, 507)
+            exported_tokens = sum(
+                exported.tokens for exported in self._exported.values()
+            )
+            if exported_tokens + entry.tokens > self.options.host_tokens:
+                self._record_event(key, "evicted")
+                return json_response(
+                    {"error": {"message": "no memory left for exports"}}, 507
+                )
             self._exported[key] = entry
-            self._event(key, "exported")
+            self._record_event(key, "exported")
         time.sleep(entry.tokens / self.options.import_rate)
         return json_response({"tokens": entry.tokens})
 
-    def _import(self, request: Request, key: str) -> Response:
+    def _import_cached(self, request: Request, key: str) -> Response:
         with self._lock:
             entry = self._exported.pop(key, None)
             if entry is None:
                 return json_response({"error": {"message": "not exported"}}, 404)
             self._cache[key] = entry
-            self._event(key, "imported")
+            self._record_event(key, "imported")
         time.sleep(entry.tokens / self.options.import_rate)
         return json_response({"tokens": entry.tokens})
 
-    def _order(self, request: Request) -> Response:
-        if self._fenced(request):
-            return json_response({"error": {"message": "old fencing number"}}, 409)
+    def _accept_order(self, request: Request) -> Response:
+        if self._has_stale_fencing_token(request):
+            return json_response({"error": {"message": "stale fencing token"}}, 409)
         self._orders.append(request.get_data(as_text=True))
         return json_response({})
 
@@ -499,7 +538,7 @@
         )
 
 
-def _event_bytes(
+def _encode_event(
     sequence: Sequence, choices: list[dict[str, Any]], usage: dict[str, Any] | None
 ) -> bytes:
     chunk: dict[str, Any] = {
--- a/sequoiaarch/standins/keyed_store.py
+++ b/sequoiaarch/standins/keyed_store.py
@@ -1,4 +1,4 @@
-"""Stand in for a store of keyed topics, with faults for each client."""
+"""Simulate a store of keyed topics, with fault injection per client."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
     Writer,
 )
 
-# The store repeats its first answer for so many of a writer's last appends.
-REPEATS_KEPT = 5
+# A repeated append gets its first answer if it is among this many latest appends.
+REMEMBERED_APPENDS = 5
 
 
 @dataclass(kw_only=True)
 class StoreFaults:
-    """Say how the store misbehaves towards one client; times in seconds.
+    """Faults to inject into the calls of one client; times in seconds.
 
-    `lost_replies` appends are carried out and not answered, and with `append_delay`
-    only that much later.
+    `lost_replies` appends get an error as their reply and are carried out anyway,
+    after `append_delay`.
     """
 
     down: bool = False
@@ -40,7 +40,7 @@
 class _Producer:
     epoch: int = -1
     sequence: int = -1
-    answers: dict[int, Offset] = field(default_factory=dict)
+    offsets: dict[int, Offset] = field(default_factory=dict)
 
 
 @dataclass(kw_only=True)
@@ -54,21 +54,21 @@
 
     @property
     def end(self) -> int:
-        """Return the offset that the next record will get."""
+        """Return the offset of the next record."""
         return self.first + len(self.records)
 
 
 class KeyedStore:
-    """Keep topics in memory; each client has a view with faults of its own."""
+    """Topics in memory, used through clients that inject faults."""
 
     def __init__(self) -> None:
         self._topics: dict[Partition, _Topic] = defaultdict(_Topic)
-        self._grown = asyncio.Condition()
+        self._appended = asyncio.Condition()
         self.appends = 0
         self.listings = 0
 
     def client(self) -> KeyedStoreClient:
-        """Return a view of the store."""
+        """Create a client without faults."""
         return KeyedStoreClient(store=self)
 
     def compact(self) -> None:
@@ -78,7 +78,7 @@
             topic.records.clear()
 
     def records(self, *, but: str) -> list[KeyedRecord]:
-        """Return the records of all topics but one."""
+        """Return the records of all topics except one."""
         return [
             record
             for partition, topic in self._topics.items()
@@ -87,38 +87,38 @@
         ]
 
     async def put(self, topic: str, key: str, value: bytes) -> None:
-        """Write a record as the operator or a target would."""
+        """Write a record to the first partition of a topic, without a writer."""
         await self.add(Partition(topic=topic, number=0), key, value)
 
     async def add(self, partition: Partition, key: str, value: bytes) -> None:
-        """Write one record without a writer's sequence."""
+        """Write one record without a writer."""
         await self._store(partition, [KeyedRecord(key=key, value=value)])
 
     async def append(
         self, partition: Partition, records: list[KeyedRecord], writer: Writer
     ) -> Offset | Failure:
-        """Append in the order of the writer's sequence."""
+        """Append once per sequence number, and reject older epochs and gaps."""
         producer = self._topics[partition].producers[writer.name]
         if writer.epoch < producer.epoch:
-            return _refused("fenced")
+            return _failure("fenced")
         if writer.epoch == producer.epoch:
-            if writer.sequence in producer.answers:
-                return producer.answers[writer.sequence]
+            if writer.sequence in producer.offsets:
+                return producer.offsets[writer.sequence]
             if writer.sequence != producer.sequence + 1:
-                return _refused(f"expected sequence {producer.sequence + 1}")
+                return _failure(f"expected sequence {producer.sequence + 1}")
         offset = await self._store(partition, records)
         self.appends += 1
         producer.epoch = writer.epoch
         producer.sequence = writer.sequence
-        producer.answers[writer.sequence] = offset
-        for old in sorted(producer.answers)[:-REPEATS_KEPT]:
-            del producer.answers[old]
+        producer.offsets[writer.sequence] = offset
+        for old in sorted(producer.offsets)[:-REMEMBERED_APPENDS]:
+            del producer.offsets[old]
         return offset
 
     async def append_at(
         self, partition: Partition, records: list[KeyedRecord], end: Offset
     ) -> bool:
-        """Append if the partition ends there; return whether it did."""
+        """Append if the partition ends at an offset; return whether it did."""
         if self._topics[partition].end != end:
             return False
         await self._store(partition, records)
@@ -127,12 +127,12 @@
     async def read(
         self, partition: Partition, start: Offset, wait: float
     ) -> KeyedPage | LogGap:
-        """Return the records from an offset on."""
+        """Read from an offset, waiting up to `wait` seconds for a record."""
         topic = self._topics[partition]
         if wait > 0 and topic.end <= start:
             try:
-                async with asyncio.timeout(wait), self._grown:
-                    await self._grown.wait_for(lambda: topic.end > start)
+                async with asyncio.timeout(wait), self._appended:
+                    await self._appended.wait_for(lambda: topic.end > start)
             except TimeoutError:
                 pass
         if start < topic.first:
@@ -149,52 +149,54 @@
         )
 
     async def _store(self, partition: Partition, records: list[KeyedRecord]) -> Offset:
-        async with self._grown:
+        async with self._appended:
             topic = self._topics[partition]
             offset = Offset(topic.end)
             for record in records:
-                place = Offset(topic.end)
+                record_offset = Offset(topic.end)
                 topic.records.append(record)
                 topic.newest.pop(record.key, None)
                 if record.value:
                     topic.newest[record.key] = ListedRecord(
-                        key=record.key, value=record.value, offset=place
+                        key=record.key, value=record.value, offset=record_offset
                     )
-            self._grown.notify_all()
+            self._appended.notify_all()
         return offset
 
 
 class KeyedStoreClient:
-    """See the store as one client does."""
+    """One client's access to the store, with its own faults."""
 
     def __init__(self, *, store: KeyedStore) -> None:
         self._store = store
         self.faults = StoreFaults()
         self.reads = 0
-        self._late: set[asyncio.Task[Offset | Failure]] = set()
+        self._delayed_appends: set[asyncio.Task[Offset | Failure]] = set()
 
     async def append(
         self, partition: Partition, records: list[KeyedRecord], *, writer: Writer
     ) -> Offset | Failure:
         """Append all records or none; return the offset of the first."""
-        if await self._fails():
-            return _refused("down")
+        if await self._inject_faults():
+            return _failure("down")
         if self.faults.lost_replies > 0:
             self.faults.lost_replies -= 1
-            late = asyncio.create_task(
-                self._append_late(partition, records, writer, self.faults.append_delay)
+            delayed = asyncio.create_task(
+                self._append_delayed(
+                    partition, records, writer, self.faults.append_delay
+                )
             )
-            self._late.add(late)
-            late.add_done_callback(self._late.discard)
-            return _refused("the answer was lost")
+            self._delayed_appends.add(delayed)
+            delayed.add_done_callback(self._delayed_appends.discard)
+            return _failure("the reply was lost")
         return await self._store.append(partition, records, writer)
 
     async def append_at(
         self, partition: Partition, records: list[KeyedRecord], *, end: Offset
     ) -> bool | Failure:
-        """Append if the partition still ends there; return whether it did."""
-        if await self._fails():
-            return _refused("down")
+        """Append if the partition still ends at an offset; return whether it did."""
+        if await self._inject_faults():
+            return _failure("down")
         return await self._store.append_at(partition, records, end)
 
     async def read(
@@ -202,17 +204,17 @@
     ) -> KeyedPage | LogGap | Failure:
         """Read from an offset, waiting up to `wait` seconds for a record."""
         self.reads += 1
-        if await self._fails():
-            return _refused("down")
+        if await self._inject_faults():
+            return _failure("down")
         return await self._store.read(partition, start, wait)
 
     async def newest(self, partition: Partition) -> NewestRecords | Failure:
         """Read the newest record of each key."""
-        if await self._fails():
-            return _refused("down")
+        if await self._inject_faults():
+            return _failure("down")
         return self._store.newest(partition)
 
-    async def _append_late(
+    async def _append_delayed(
         self,
         partition: Partition,
         records: list[KeyedRecord],
@@ -222,11 +224,11 @@
         await asyncio.sleep(delay)
         return await self._store.append(partition, records, writer)
 
-    async def _fails(self) -> bool:
+    async def _inject_faults(self) -> bool:
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
         return self.faults.down
 
 
-def _refused(reason: str) -> Failure:
+def _failure(reason: str) -> Failure:
     return Failure(kind=ErrorKind.LOG_UNAVAILABLE, reason=reason)
--- a/sequoiaarch/standins/service.py
+++ b/sequoiaarch/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a tool or plain service."""
+"""Simulate a tool or plain HTTP service."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 class ServiceStandIn:
-    """Answer any call and count how often each idempotency key was run."""
+    """Service that answers any call and counts executions per idempotency key.
+
+    Calls block while `hang` is set; `delay` is in seconds.
+    """
 
     def __init__(self, *, port: int = 0, delay: float = 0.0) -> None:
         self.delay = delay
@@ -22,10 +25,10 @@
         self._lock = threading.Lock()
         self._server = StandInServer(
             routes=[
-                ("GET", "/executions", self._list),
-                ("POST", "/", self._run),
-                ("POST", "/<path:path>", self._run),
-                ("GET", "/<path:path>", self._run),
+                ("GET", "/executions", self._list_executions),
+                ("POST", "/", self._execute),
+                ("POST", "/<path:path>", self._execute),
+                ("GET", "/<path:path>", self._execute),
             ],
             port=port,
         )
@@ -36,15 +39,15 @@
         return self._server.url
 
     def start(self) -> None:
-        """Start to answer."""
+        """Start the server."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to answer; a call that hangs is let go first."""
+        """Release blocked calls and stop the server."""
         self.hang.clear()
         self._server.stop()
 
-    def _run(self, request: Request, path: str = "") -> Response:
+    def _execute(self, request: Request, path: str = "") -> Response:
         body = request.get_data()
         key = request.headers.get("Idempotency-Key", "")
         with self._lock:
@@ -56,12 +59,12 @@
         answer = {"service": path, "key": key, "run": number, "bytes": len(body)}
         return json_response(answer)
 
-    def _list(self, request: Request) -> Response:
+    def _list_executions(self, request: Request) -> Response:
         return json_response(dict(self.executions))
 
 
 class Delay(msgspec.Struct):
-    """Pick the delay in seconds out of a request body."""
+    """The part of a request body that sets the delay in seconds."""
 
     delay: float = 0.0
 
--- a/sequoiaarch/standins/web.py
+++ b/sequoiaarch/standins/web.py
@@ -1,4 +1,4 @@
-"""Help the stand-ins to answer over HTTP."""
+"""HTTP server shared by the stand-ins."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def json_response(value: object, status: int = 200) -> Response:
-    """Return a JSON answer."""
+    """Return a response with a value encoded as JSON."""
     return Response(
         msgspec.json.encode(value), status=status, mimetype="application/json"
     )
 
 
 class StandInServer:
-    """Serve the routes of one stand-in on a port that the kernel chooses."""
+    """Serve the routes of one stand-in on loopback; port 0 takes a free port."""
 
     def __init__(
         self, *, routes: list[tuple[str, str, Handler]], port: int = 0
@@ -32,20 +32,20 @@
             Rule(path, methods=[method], endpoint=handler)
             for method, path, handler in routes
         ]
-        self._map = make_routes(rules)
+        self._url_map = make_routes(rules)
         self._server = WebServer(app=self._app, address="127.0.0.1", port=port)
 
     @property
     def url(self) -> str:
-        """Return the base URL of the stand-in."""
+        """Return the base URL."""
         return f"http://127.0.0.1:{self._server.port}"
 
     def start(self) -> None:
-        """Start to answer."""
+        """Start the server."""
         self._server.start()
 
     def stop(self) -> None:
-        """Stop to answer."""
+        """Stop the server."""
         self._server.stop()
 
     def _app(
@@ -53,7 +53,7 @@
     ) -> Iterable[bytes]:
         request = Request(environ)
         try:
-            handler, values = self._map.bind_to_environ(environ).match()
+            handler, values = self._url_map.bind_to_environ(environ).match()
             response = handler(request, **values)
         except HTTPException as error:
             return error.get_response(environ)(environ, start_response)
