--- a/sequoiaarch/bench/__init__.py
+++ b/sequoiaarch/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load, measure and disturb the system."""
+"""Benchmarks, cost measurements and a soak test."""
--- a/sequoiaarch/bench/__main__.py
+++ b/sequoiaarch/bench/__main__.py
@@ -1,16 +1,16 @@
-"""Offer the measurements as commands."""
+"""Command line of the benchmarks and the soak test."""
 
 from __future__ import annotations
 
 import click
 
-from .compare import DEPLOYMENTS, KINDS, LOADS, WINDOW, run_all, run_one
-from .cost import PARTS, run_cost
+from .compare import ARRIVAL_WINDOW, DEPLOYMENTS, EXPERIMENTS, LOADS, run_all, run_one
+from .cost import MEASUREMENTS, run_cost
 from .soak import run_soak
 
 
 def parse_loads(text: str) -> tuple[int, ...]:
-    """Return loads in percent of capacity."""
+    """Parse a comma-separated list of loads in percent of capacity."""
     return tuple(int(part) for part in text.split(","))
 
 
@@ -23,7 +23,7 @@
     "--loads", default=",".join(map(str, LOADS)), help="Percent of capacity."
 )
 WINDOW_OPTION = click.option(
-    "--window", default=WINDOW, help="Seconds in which programs arrive."
+    "--window", default=ARRIVAL_WINDOW, help="Seconds in which programs arrive."
 )
 
 
@@ -53,7 +53,7 @@
 
 @main.command()
 @click.argument("name", type=click.Choice(sorted(DEPLOYMENTS)))
-@click.argument("kind", type=click.Choice(sorted(KINDS)))
+@click.argument("kind", type=click.Choice(sorted(EXPERIMENTS)))
 @LOADS_OPTION
 @WINDOW_OPTION
 def one(name: str, kind: str, loads: str, window: float) -> None:
@@ -62,7 +62,7 @@
 
 
 @main.command()
-@click.argument("parts", nargs=-1, type=click.Choice(PARTS))
+@click.argument("parts", nargs=-1, type=click.Choice(MEASUREMENTS))
 def cost(parts: tuple[str, ...]) -> None:
     """Measure what the system itself costs."""
     run_cost(parts)
--- a/sequoiaarch/bench/cluster.py
+++ b/sequoiaarch/bench/cluster.py
@@ -1,4 +1,4 @@
-"""Run a whole deployment as separate processes on loopback."""
+"""Run all processes of a deployment on loopback."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from ..standins.platform import Faults, HostChange
 from ..storage.interfaces import HostState
 
-START_LIMIT = 60.0
-STOP_LIMIT = 60.0
-POLL = 0.05
+START_TIMEOUT = 60.0  # seconds
+STOP_TIMEOUT = 60.0  # seconds
+POLL_INTERVAL = 0.05  # seconds
 CALLER_KEY = "bench-caller-key"
 OPERATOR_KEY = "bench-operator-key"
 WORKSPACE = "bench"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Node:
-    """Name a process and its data centre."""
+    """A gateway or sidecar process and its data centre."""
 
     name: str
     data_centre: str
@@ -46,7 +46,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Deployment:
-    """Describe what a deployment is made of; delays in seconds, one way."""
+    """Nodes and options of a deployment.
+
+    `delay` is the one-way delay between data centres in seconds.
+    """
 
     name: str
     gateways: list[Node]
@@ -59,25 +62,25 @@
 
 
 def free_port() -> int:
-    """Return a port that the kernel chose and that is free again.
+    """Return a free port for a process that has to restart on the same port.
 
-    A gateway that listened on port 0 could not be started again at its port:
-    connections of the old process in TIME_WAIT bar it.
+    After a restart, connections in TIME_WAIT would block a port that was taken by
+    listening on port 0.
     """
-    with socket.socket() as one:
-        one.bind(("127.0.0.1", 0))
-        return one.getsockname()[1]
+    with socket.socket() as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()[1]
 
 
-class RunningProcess:
-    """Hold one process that the bench started."""
+class ChildProcess:
+    """A process started by the cluster, with its log file and its URLs."""
 
     def __init__(self, *, name: str, arguments: list[str], log: Path) -> None:
         self.name = name
         self.arguments = arguments
         self.log = log
         self.urls: list[str] = []
-        self._lines: queue.SimpleQueue[str] = queue.SimpleQueue()
+        self._stdout_lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         self._process = self._start()
 
     def _start(self) -> subprocess.Popen[str]:
@@ -87,13 +90,13 @@
             stderr=self.log.open("a"),
             text=True,
         )
-        threading.Thread(target=self._read, args=(process,), daemon=True).start()
+        threading.Thread(target=self._read_stdout, args=(process,), daemon=True).start()
         return process
 
-    def _read(self, process: subprocess.Popen[str]) -> None:
+    def _read_stdout(self, process: subprocess.Popen[str]) -> None:
         assert process.stdout is not None
         for line in process.stdout:
-            self._lines.put(line)
+            self._stdout_lines.put(line)
 
     @property
     def pid(self) -> int:
@@ -102,158 +105,164 @@
 
     @property
     def alive(self) -> bool:
-        """Return whether the process runs."""
+        """Return whether the process is running."""
         return self._process.poll() is None
 
-    def listening(self) -> list[str]:
-        """Wait until the process says where it listens."""
-        line = self._lines.get(timeout=START_LIMIT)
-        word, *self.urls = line.split()
-        if word != "listening":
-            raise RuntimeError(f"{self.name} said {line!r}")
+    def wait_listening(self) -> list[str]:
+        """Wait until the process prints its URLs and return them."""
+        line = self._stdout_lines.get(timeout=START_TIMEOUT)
+        keyword, *self.urls = line.split()
+        if keyword != "listening":
+            raise RuntimeError(
+                f"{self.name} printed {line!r}, not the URLs that it listens on"
+            )
         return self.urls
 
-    def signal(self, number: signal.Signals) -> None:
+    def signal(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process."""
-        self._process.send_signal(number)
+        self._process.send_signal(signal_number)
 
     def wait(self) -> int:
-        """Wait until the process has ended and return its exit code."""
-        return self._process.wait(STOP_LIMIT)
+        """Wait until the process exits and return its exit code."""
+        return self._process.wait(STOP_TIMEOUT)
 
-    def end(self) -> None:
-        """End the process whatever its state."""
+    def kill(self) -> None:
+        """Kill the process, also if it is stopped, and wait until it exits."""
         if self.alive:
             self._process.send_signal(signal.SIGCONT)
             self._process.kill()
-        self._process.wait(STOP_LIMIT)
+        self._process.wait(STOP_TIMEOUT)
 
 
 class Cluster:
-    """Start, disturb and stop the processes of a deployment."""
+    """The processes of a deployment, with access to them for tests and load."""
 
     def __init__(self, *, deployment: Deployment) -> None:
         self._deployment = deployment
-        self._folder = Path(tempfile.mkdtemp(prefix="sequoiaarch-"))
-        self.processes: dict[str, RunningProcess] = {}
+        self._directory = Path(tempfile.mkdtemp(prefix="sequoiaarch-"))
+        self.processes: dict[str, ChildProcess] = {}
         self._ports: dict[str, int] = {}
         self._http = urllib3.PoolManager(maxsize=8)
 
     @property
     def deployment(self) -> Deployment:
-        """Return what the fleet runs."""
+        """Return the deployment that the cluster runs."""
         return self._deployment
 
     def start(self) -> None:
-        """Start all processes, publish the configuration, wait for readiness."""
-        plan = self._deployment
-        self._stand_in("platform", "platform")
-        for place in plan.engines:
-            options = msgspec.json.encode(plan.options).decode()
-            self._stand_in(f"{place.name}-engine", "engine", "--options", options)
-        for place in plan.services:
-            self._stand_in(f"{place.name}-service", "service")
+        """Start all processes, publish the configuration and wait for readiness."""
+        deployment = self._deployment
+        self._start_stand_in("platform", "platform")
+        for node in deployment.engines:
+            options = msgspec.json.encode(deployment.options).decode()
+            self._start_stand_in(f"{node.name}-engine", "engine", "--options", options)
+        for node in deployment.services:
+            self._start_stand_in(f"{node.name}-service", "service")
         for process in self.processes.values():
-            process.listening()
-        for place in [*plan.engines, *plan.services]:
-            self.set_host(place.name, HostState.LIVE)
-            self._daemon(place, self._sidecar_settings(place, "tcp://127.0.0.1:*"))
-        for place in [*plan.engines, *plan.services]:
-            self.processes[place.name].listening()
-        for place in plan.gateways:
-            self._daemon(place, self._gateway_settings(place))
-        for place in plan.gateways:
-            self.processes[place.name].listening()
+            process.wait_listening()
+        for node in [*deployment.engines, *deployment.services]:
+            self.set_host(node.name, HostState.LIVE)
+            self._start_daemon(node, self._sidecar_settings(node, "tcp://127.0.0.1:*"))
+        for node in [*deployment.engines, *deployment.services]:
+            self.processes[node.name].wait_listening()
+        for node in deployment.gateways:
+            self._start_daemon(node, self._gateway_settings(node))
+        for node in deployment.gateways:
+            self.processes[node.name].wait_listening()
         self.publish(self.documents(), wait_ready=False)
-        for place in [*plan.gateways, *plan.engines, *plan.services]:
-            self.wait_ready(place.name)
+        for node in [*deployment.gateways, *deployment.engines, *deployment.services]:
+            self.wait_ready(node.name)
 
     def stop(self) -> None:
-        """End all processes and remove their logs."""
+        """Kill all processes and remove their logs."""
         for process in self.processes.values():
-            process.end()
-        shutil.rmtree(self._folder, ignore_errors=True)
+            process.kill()
+        shutil.rmtree(self._directory, ignore_errors=True)
 
-    def _stand_in(self, name: str, kind: str, *arguments: str) -> None:
+    def _start_stand_in(self, name: str, kind: str, *arguments: str) -> None:
         command = [sys.executable, "-m", "sequoiaarch.standins", kind, *arguments]
         self._launch(name, command)
 
-    def _daemon(self, place: Node, settings: dict[str, Any]) -> None:
-        path = self._folder / f"{place.name}.jsonc"
+    def _start_daemon(self, node: Node, settings: dict[str, Any]) -> None:
+        path = self._directory / f"{node.name}.jsonc"
         path.write_bytes(msgspec.json.encode(settings))
         module = "sequoiaarch.daemon"
         command = [sys.executable, "-m", module, "--settings", str(path)]
-        self._launch(place.name, command)
+        self._launch(node.name, command)
 
     def _launch(self, name: str, command: list[str]) -> None:
-        log = self._folder / f"{name}.log"
-        process = RunningProcess(name=name, arguments=command, log=log)
+        log = self._directory / f"{name}.log"
+        process = ChildProcess(name=name, arguments=command, log=log)
         self.processes[name] = process
 
     def log_text(self, name: str) -> str:
-        """Return what a process has logged."""
-        return (self._folder / f"{name}.log").read_text()
+        """Return the log of a process."""
+        return (self._directory / f"{name}.log").read_text()
 
-    def _common(self, place: Node) -> dict[str, Any]:
-        plan = self._deployment
+    def _common_settings(self, node: Node) -> dict[str, Any]:
+        deployment = self._deployment
         platform = self.processes["platform"].urls[0]
-        others = {one.data_centre for one in [*plan.gateways, *plan.engines]}
-        near = {name: plan.delay for name in others if name != place.data_centre}
+        data_centres = {
+            other.data_centre for other in [*deployment.gateways, *deployment.engines]
+        }
+        near = {
+            name: deployment.delay for name in data_centres if name != node.data_centre
+        }
         return {
-            "host": f"host-{place.name}",
-            "data_centre": place.data_centre,
+            "host": f"host-{node.name}",
+            "data_centre": node.data_centre,
             "platform": {"log": platform, "hosts": platform},
             "shards": SHARDS,
-            "limits": plan.limits.model_dump(),
+            "limits": deployment.limits.model_dump(),
             "near": near,
             "logging": {"level": "info"},
         }
 
-    def _sidecar_settings(self, place: Node, inner: str) -> dict[str, Any]:
+    def _sidecar_settings(self, node: Node, inner: str) -> dict[str, Any]:
         return {
-            **self._common(place),
+            **self._common_settings(node),
             "role": "sidecar",
-            "target": place.name,
+            "target": node.name,
             "inner": {
                 "address": inner,
                 "silence_limit": self._deployment.silence_limit,
             },
         }
 
-    def _gateway_settings(self, place: Node) -> dict[str, Any]:
+    def _gateway_settings(self, node: Node) -> dict[str, Any]:
         return {
-            **self._common(place),
+            **self._common_settings(node),
             "role": "gateway",
             "callers": [{"key": CALLER_KEY, "workspace": WORKSPACE}],
             "operator_keys": [OPERATOR_KEY],
             "inner": {"silence_limit": self._deployment.silence_limit},
-            "http": {"port": self._ports.setdefault(place.name, free_port())},
+            "http": {"port": self._ports.setdefault(node.name, free_port())},
         }
 
     # Configuration.
 
     def documents(self) -> list[dict[str, Any]]:
-        """Return the documents that describe the deployment."""
-        plan = self._deployment
-        found: list[dict[str, Any]] = []
-        for place in plan.engines:
+        """Return the configuration documents of the deployment."""
+        deployment = self._deployment
+        documents: list[dict[str, Any]] = []
+        for node in deployment.engines:
             spec = {
                 "type": "engine",
                 "model": MODEL,
-                "slots": plan.options.slots,
-                "cache_tokens": plan.options.cache_tokens,
-                "export_tokens": plan.options.host_tokens,
+                "slots": deployment.options.slots,
+                "cache_tokens": deployment.options.cache_tokens,
+                "export_tokens": deployment.options.host_tokens,
                 "min_bytes_per_token": 2.0,
             }
-            found.append(self._target(place, "engine", spec))
-        for place in plan.services:
+            documents.append(self._target_document(node, "engine", spec))
+        for node in deployment.services:
             spec = {"type": "service", "service": SERVICE, "slots": 64}
-            found.append(self._target(place, "service", spec))
-        found.append(
+            documents.append(self._target_document(node, "service", spec))
+        documents.append(
             {
                 "kind": "Program",
                 "name": "bench",
-                "labels": {"deployment": plan.name},
+                "labels": {"deployment": deployment.name},
                 "spec": {
                     "workspace": WORKSPACE,
                     "model": MODEL,
@@ -262,19 +271,23 @@
                 },
             }
         )
-        found.append({"kind": "Policy", "name": "default", "selector": {}, "spec": {}})
-        return found
+        documents.append(
+            {"kind": "Policy", "name": "default", "selector": {}, "spec": {}}
+        )
+        return documents
 
-    def _target(self, place: Node, kind: str, spec: dict[str, Any]) -> dict[str, Any]:
+    def _target_document(
+        self, node: Node, kind: str, spec: dict[str, Any]
+    ) -> dict[str, Any]:
         return {
             "kind": "Target",
-            "name": place.name,
+            "name": node.name,
             "labels": {"type": kind},
             "spec": {
-                "url": self.processes[f"{place.name}-{kind}"].urls[0],
-                "address": self.processes[place.name].urls[1],
-                "host": f"host-{place.name}",
-                "data_centre": place.data_centre,
+                "url": self.processes[f"{node.name}-{kind}"].urls[0],
+                "address": self.processes[node.name].urls[1],
+                "host": f"host-{node.name}",
+                "data_centre": node.data_centre,
                 **spec,
             },
         }
@@ -282,47 +295,49 @@
     def publish(self, documents: list[dict[str, Any]], *, wait_ready: bool) -> None:
         """Publish documents through the first gateway."""
         operator = self.operator()
-        known = operator.request("GET", "/v1/admin/config")["documents"]
+        current = operator.request("GET", "/v1/admin/config")["documents"]
         changes = []
         for document in documents:
             key = f"{document['kind']}/{document['name']}"
-            base = known.get(key, {}).get("version", 0)
+            base = current.get(key, {}).get("version", 0)
             changes.append({"key": key, "base": base, "document": document})
         body = {"id": new_id("publication"), "author": "bench", "changes": changes}
         verdict = operator.request("POST", "/v1/admin/config", body, patient=True)
         if wait_ready:
-            for place in self._deployment.gateways:
-                self._wait_version(place.name, verdict["offset"] + 1)
+            for node in self._deployment.gateways:
+                self._wait_version(node.name, verdict["offset"] + 1)
 
     def _wait_version(self, name: str, version: int) -> None:
         operator = self.operator(name)
-        deadline = time.monotonic() + START_LIMIT
+        deadline = time.monotonic() + START_TIMEOUT
         while operator.request("GET", "/v1/admin/status")["config_version"] < version:
             if time.monotonic() > deadline:
-                raise RuntimeError(f"{name} never saw version {version}")
-            time.sleep(POLL)
+                raise RuntimeError(
+                    f"{name} did not apply configuration version {version}"
+                )
+            time.sleep(POLL_INTERVAL)
 
     def wait_ready(self, name: str) -> None:
-        """Wait until a daemon takes work."""
+        """Wait until a daemon reports that it is ready."""
         url = self.processes[name].urls[0] + "/readyz"
-        deadline = time.monotonic() + START_LIMIT
+        deadline = time.monotonic() + START_TIMEOUT
         while time.monotonic() < deadline:
             try:
                 if self._http.request("GET", url, retries=False).status == 200:
                     return
             except urllib3.exceptions.HTTPError:
                 pass
-            time.sleep(POLL)
-        raise RuntimeError(f"{name} never became ready: {self.log_text(name)}")
+            time.sleep(POLL_INTERVAL)
+        raise RuntimeError(f"{name} did not become ready: {self.log_text(name)}")
 
-    # Using and disturbing.
+    # Clients and fault injection.
 
     def operator(self, gateway: str | None = None) -> Client:
-        """Return an operator's client of a gateway."""
+        """Return an operator's client for a gateway, by default the first."""
         return Client(url=self._gateway_url(gateway), key=OPERATOR_KEY)
 
     def caller(self, gateway: str | None = None) -> Client:
-        """Return a caller's client of a gateway."""
+        """Return a caller's client for a gateway, by default the first."""
         return Client(url=self._gateway_url(gateway), key=CALLER_KEY)
 
     def _gateway_url(self, gateway: str | None) -> str:
@@ -330,38 +345,40 @@
         return self.processes[name].urls[0]
 
     def gateway_urls(self) -> list[str]:
-        """Return where all gateways answer."""
-        names = [place.name for place in self._deployment.gateways]
+        """Return the URLs of all gateways."""
+        names = [node.name for node in self._deployment.gateways]
         return [self.processes[name].urls[0] for name in names]
 
     def set_host(self, name: str, state: HostState | None) -> None:
-        """Change the platform's host list."""
+        """Change the state of a host in the platform's host list; None removes it."""
         change = HostChange(host=HostName(f"host-{name}"), state=state)
-        self._tell_platform("/hosts", change)
+        self._post_to_platform("/hosts", change)
 
     def set_faults(self, faults: Faults) -> None:
-        """Change how the platform's log misbehaves."""
-        self._tell_platform("/faults", faults)
+        """Set the faults that the platform injects."""
+        self._post_to_platform("/faults", faults)
 
-    def _tell_platform(self, path: str, body: object) -> None:
+    def _post_to_platform(self, path: str, body: object) -> None:
         url = self.processes["platform"].urls[0] + path
         self._http.request("POST", url, body=msgspec.json.encode(body))
 
     def get(self, name: str, path: str) -> Any:
-        """Get a JSON answer of a process, stand-ins included."""
+        """Send a GET request to a process and return the decoded JSON response."""
         reply = self._http.request("GET", self.processes[name].urls[0] + path)
         return msgspec.json.decode(reply.data)
 
     def restart(self, name: str) -> None:
-        """Start a daemon again, at the addresses that it had."""
-        old = self.processes[name]
-        old.end()
-        urls = list(old.urls)
-        places = self._deployment.engines + self._deployment.services
-        sidecar = next((one for one in places if one.name == name), None)
+        """Restart a daemon on the addresses that it had."""
+        previous = self.processes[name]
+        previous.kill()
+        urls = list(previous.urls)
+        sidecar_nodes = self._deployment.engines + self._deployment.services
+        sidecar = next((node for node in sidecar_nodes if node.name == name), None)
         if sidecar is not None:
-            self._daemon(sidecar, self._sidecar_settings(sidecar, urls[1]))
+            self._start_daemon(sidecar, self._sidecar_settings(sidecar, urls[1]))
         else:
-            gateway = next(one for one in self._deployment.gateways if one.name == name)
-            self._daemon(gateway, self._gateway_settings(gateway))
-        self.processes[name].listening()
+            gateway = next(
+                node for node in self._deployment.gateways if node.name == name
+            )
+            self._start_daemon(gateway, self._gateway_settings(gateway))
+        self.processes[name].wait_listening()
--- a/sequoiaarch/bench/compare.py
+++ b/sequoiaarch/bench/compare.py
@@ -1,4 +1,4 @@
-"""Compare our policies with the baselines on one seeded workload."""
+"""Compare the default policies with baselines on seeded workloads."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 import msgspec
 
 from .cluster import Cluster, Deployment
-from .driver import ProgramResult, drive
-from .workload import kunene, plan, presupuesto
+from .driver import ProgramResult, run_workload
+from .workload import kunene_deployment, plan_programs, presupuesto_deployment
 
-LOADS = (60, 85, 105)
+LOADS = (60, 85, 105)  # percent of capacity
 SEED = 11
-WINDOW = 7.0
-OURS = "ours"
-RESULTS = Path("results")
-DEPLOYMENTS = {"kunene": kunene, "presupuesto": presupuesto}
+ARRIVAL_WINDOW = 7.0  # seconds
+OURS = "ours"  # the policies under test
+RESULTS_DIRECTORY = Path("results")
+DEPLOYMENTS = {"kunene": kunene_deployment, "presupuesto": presupuesto_deployment}
 LATENCY_WEIGHTS = {"kunene": 0.9, "presupuesto": 0.2}
 
 NAIVE: dict[str, Any] = {
@@ -43,15 +43,19 @@
 }
 
 
-WEIGHTS: dict[str, dict[str, Any]] = {
+LATENCY_WEIGHT_POLICIES: dict[str, dict[str, Any]] = {
     "weight_0": {"latency_weight": 0.0},
     OURS: {"latency_weight": 1.0},
 }
-KINDS = {"compare": CONTENDERS, "ablate": ABLATIONS, "weigh": WEIGHTS}
+EXPERIMENTS = {
+    "compare": CONTENDERS,
+    "ablate": ABLATIONS,
+    "weigh": LATENCY_WEIGHT_POLICIES,
+}
 
 
 class Figures(msgspec.Struct, kw_only=True):
-    """Hold the absolute figures of one run; times in seconds."""
+    """Measurements of one run; times in seconds."""
 
     deployment: str
     load: int
@@ -72,7 +76,7 @@
 
 
 class Ratio(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold one line of output: ours over a baseline."""
+    """Value of one metric relative to a baseline, None if it can't be compared."""
 
     deployment: str
     load: int
@@ -81,39 +85,43 @@
     value: float | None
 
 
-def percentile(values: list[float], share: float) -> float:
-    """Return the value below which a share of the values lies."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return the value at a quantile, 0 if there are no values."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-def figures_of(
+def summarise(
     deployment: str, load: int, contender: str, results: list[ProgramResult]
 ) -> Figures:
-    """Return the figures of one run."""
-    problems = [f"{one.name}: {one.problem}" for one in results if one.problem]
-    done = [one for one in results if not one.problem and not one.refused]
-    latencies = [one.latency for one in done]
-    firsts = [value for one in done for value in one.first_tokens]
+    """Summarise the results of one run."""
+    problems = [
+        f"{result.name}: {result.problem}" for result in results if result.problem
+    ]
+    finished = [
+        result for result in results if not result.problem and not result.refused
+    ]
+    latencies = [result.latency for result in finished]
+    first_tokens = [value for result in finished for value in result.first_tokens]
     return Figures(
         deployment=deployment,
         load=load,
         contender=contender,
         programs=len(results),
-        finished=len(done),
-        refused=sum(one.refused for one in results),
+        finished=len(finished),
+        refused=sum(result.refused for result in results),
         problems=problems[:20],
         program_latency_mean=statistics.fmean(latencies) if latencies else 0.0,
         program_latency_p50=percentile(latencies, 0.5),
         program_latency_p95=percentile(latencies, 0.95),
         program_latency_p99=percentile(latencies, 0.99),
-        first_token_p50=percentile(firsts, 0.5),
-        first_token_p95=percentile(firsts, 0.95),
-        wasted_cache_tokens=sum(one.wasted for one in done),
-        prompt_tokens=sum(one.prompt for one in done),
-        worst_slowdown=max((one.slowdown for one in done), default=0.0),
+        first_token_p50=percentile(first_tokens, 0.5),
+        first_token_p95=percentile(first_tokens, 0.95),
+        wasted_cache_tokens=sum(result.uncached_tokens for result in finished),
+        prompt_tokens=sum(result.prompt_tokens for result in finished),
+        worst_slowdown=max((result.slowdown for result in finished), default=0.0),
     )
 
 
@@ -128,34 +136,38 @@
 
 
 def ratios(runs: list[Figures]) -> list[Ratio]:
-    """Return ours over each other contender; None where a run went wrong."""
-    ours = next(one for one in runs if one.contender == OURS)
-    found = []
-    for other in runs:
-        if other.contender == OURS:
+    """Return each metric relative to each baseline; None if a run had problems."""
+    own_run = next(run for run in runs if run.contender == OURS)
+    result = []
+    for baseline_run in runs:
+        if baseline_run.contender == OURS:
             continue
-        sound = not ours.problems and not other.problems
+        comparable = not own_run.problems and not baseline_run.problems
         for metric in METRICS:
-            below = getattr(other, metric)
-            value = getattr(ours, metric) / below if sound and below else None
-            found.append(
+            baseline_value = getattr(baseline_run, metric)
+            value = (
+                getattr(own_run, metric) / baseline_value
+                if comparable and baseline_value
+                else None
+            )
+            result.append(
                 Ratio(
-                    deployment=ours.deployment,
-                    load=ours.load,
-                    baseline=other.contender,
+                    deployment=own_run.deployment,
+                    load=own_run.load,
+                    baseline=baseline_run.contender,
                     metric=metric,
                     value=None if value is None else round(value, 4),
                 )
             )
-    return found
+    return result
 
 
-def set_policy(fleet: Cluster, policy: dict[str, Any]) -> None:
-    """Switch all processes to a policy by publishing it."""
-    weight = LATENCY_WEIGHTS[fleet.deployment.name]
-    spec = {"latency_weight": weight, **policy}
+def set_policy(cluster: Cluster, policy: dict[str, Any]) -> None:
+    """Publish a default policy and wait until all gateways have applied it."""
+    latency_weight = LATENCY_WEIGHTS[cluster.deployment.name]
+    spec = {"latency_weight": latency_weight, **policy}
     document = {"kind": "Policy", "name": "default", "selector": {}, "spec": spec}
-    fleet.publish([document], wait_ready=True)
+    cluster.publish([document], wait_ready=True)
 
 
 def run_deployment(
@@ -165,25 +177,27 @@
     window: float,
     seed: int = SEED,
 ) -> list[Figures]:
-    """Run all contenders at all loads on one fleet."""
-    fleet = Cluster(deployment=deployment)
-    found = []
+    """Run each policy at each load on one cluster."""
+    cluster = Cluster(deployment=deployment)
+    runs = []
     try:
-        fleet.start()
+        cluster.start()
         for load in loads:
-            planned = plan(deployment, load=load / 100, seconds=window, seed=seed)
+            programs = plan_programs(
+                deployment, load=load / 100, seconds=window, seed=seed
+            )
             for name, policy in contenders.items():
-                set_policy(fleet, policy)
-                results = drive(fleet, planned, f"{name}-{load}-{seed}")
-                figures = figures_of(deployment.name, load, name, results)
-                found.append(figures)
-                _progress(figures)
+                set_policy(cluster, policy)
+                results = run_workload(cluster, programs, f"{name}-{load}-{seed}")
+                figures = summarise(deployment.name, load, name, results)
+                runs.append(figures)
+                _print_progress(figures)
     finally:
-        fleet.stop()
-    return found
+        cluster.stop()
+    return runs
 
 
-def _progress(figures: Figures) -> None:
+def _print_progress(figures: Figures) -> None:
     click.echo(
         f"{figures.deployment} {figures.load} % {figures.contender}: "
         f"{figures.finished} of {figures.programs} programs, "
@@ -196,34 +210,37 @@
     )
 
 
-def run_all(kind: str, loads: tuple[int, ...], window: float) -> None:
-    """Run both deployments beside each other and print their ratios."""
-    RESULTS.mkdir(exist_ok=True)
-    children = []
+def run_all(experiment: str, loads: tuple[int, ...], window: float) -> None:
+    """Run an experiment on all deployments at once and print the ratios.
+
+    Exit with code 1 if a run fails.
+    """
+    RESULTS_DIRECTORY.mkdir(exist_ok=True)
+    processes = []
     for name in DEPLOYMENTS:
-        command = [sys.executable, "-m", "sequoiaarch.bench", "one", name, kind]
+        command = [sys.executable, "-m", "sequoiaarch.bench", "one", name, experiment]
         command += ["--window", str(window), "--loads", ",".join(map(str, loads))]
-        children.append(subprocess.Popen(command))
-    codes = [child.wait() for child in children]
+        processes.append(subprocess.Popen(command))
+    exit_codes = [process.wait() for process in processes]
     runs: list[Figures] = []
     for name in DEPLOYMENTS:
-        path = RESULTS / f"{kind}-{name}.json"
+        path = RESULTS_DIRECTORY / f"{experiment}-{name}.json"
         if path.exists():
             runs += msgspec.json.decode(path.read_bytes(), type=list[Figures])
     for name in DEPLOYMENTS:
         for load in loads:
-            group = [one for one in runs if (one.deployment, one.load) == (name, load)]
+            group = [run for run in runs if (run.deployment, run.load) == (name, load)]
             if not group:
                 continue
             for ratio in ratios(group):
                 click.echo(msgspec.json.encode(ratio).decode())
-    if any(codes):
+    if any(exit_codes):
         sys.exit(1)
 
 
-def run_one(name: str, kind: str, loads: tuple[int, ...], window: float) -> None:
-    """Run one deployment and leave its figures in the results folder."""
-    runs = run_deployment(DEPLOYMENTS[name](), KINDS[kind], loads, window)
-    RESULTS.mkdir(exist_ok=True)
-    path = RESULTS / f"{kind}-{name}.json"
+def run_one(name: str, experiment: str, loads: tuple[int, ...], window: float) -> None:
+    """Run an experiment on one deployment and write a file with its figures."""
+    runs = run_deployment(DEPLOYMENTS[name](), EXPERIMENTS[experiment], loads, window)
+    RESULTS_DIRECTORY.mkdir(exist_ok=True)
+    path = RESULTS_DIRECTORY / f"{experiment}-{name}.json"
     path.write_bytes(msgspec.json.format(msgspec.json.encode(runs)))
--- a/sequoiaarch/bench/driver.py
+++ b/sequoiaarch/bench/driver.py
@@ -1,4 +1,4 @@
-"""Run a planned workload as its callers, and measure what they see."""
+"""Run the programs of a workload and measure them from the client's side."""
 
 from __future__ import annotations
 
@@ -12,34 +12,38 @@
 
 from ..client import Client, ClientError
 from .cluster import CALLER_KEY, MODEL, SERVICE, Cluster
-from .workload import CLIENT_DELAY, PlannedProgram, PlannedStep, StepKind, text_of
+from .workload import STEP_INTERVAL, PlannedProgram, PlannedStep, StepKind, make_text
 
-GIVE_UP = 90.0
-ASK_PAUSE = 0.2
-STACK_BYTES = 512 * 1024
+RETRY_TIMEOUT = 90.0  # seconds
+RETRY_PAUSE = 0.2  # seconds
+THREAD_STACK_BYTES = 512 * 1024
 
 
 @dataclass(kw_only=True)
 class ProgramResult:
-    """Tell how one program went; times in seconds."""
+    """Measurements of one program; times in seconds.
+
+    `uncached_tokens` counts tokens of earlier calls that were not found in a cache.
+    `refused` is set if the first call was refused without being run.
+    """
 
     name: str
     latency: float = 0.0
-    own: float = 0.0
-    wasted: int = 0
-    prompt: int = 0
+    seconds_outside_model: float = 0.0
+    uncached_tokens: int = 0
+    prompt_tokens: int = 0
     first_tokens: list[float] = field(default_factory=list)
     refused: bool = False
     problem: str | None = None
 
     @property
     def slowdown(self) -> float:
-        """Return latency over the time that the program itself spent."""
-        return self.latency / max(self.own, 0.1)
+        """Return the latency relative to the time spent in pauses and tool calls."""
+        return self.latency / max(self.seconds_outside_model, 0.1)
 
 
 class ProgramCaller:
-    """Run one planned program."""
+    """Run one planned program as its client."""
 
     def __init__(
         self, *, planned: PlannedProgram, clients: list[Client], prefix: str
@@ -49,92 +53,96 @@
         self._client = clients[planned.gateway]
         self._program = f"{prefix}-{planned.name}"
         self._messages: list[dict[str, Any]] = []
-        self._context = 0
+        self._context_tokens = 0
         self._seq = 0
-        self.result = ProgramResult(name=planned.name, own=planned.pauses)
+        self.result = ProgramResult(
+            name=planned.name, seconds_outside_model=planned.seconds_outside_model
+        )
 
     def run(self) -> ProgramResult:
-        """Run all steps; a problem ends the program and is noted."""
-        begun = time.monotonic()
+        """Run all steps and return the result; an error ends the program."""
+        started = time.monotonic()
         try:
-            for number, step in enumerate(self._planned.steps):
-                self._step(number, step)
-            self.result.latency = time.monotonic() - begun
-            self._end()
+            for step_number, step in enumerate(self._planned.steps):
+                self._run_step(step_number, step)
+            self.result.latency = time.monotonic() - started
+            self._end_program()
         except ClientError as error:
-            early = self._seq == 0 and error.body.get("not_run") is True
-            self.result.refused = early
-            self.result.problem = None if early else str(error)
+            refused_at_start = self._seq == 0 and error.body.get("not_run") is True
+            self.result.refused = refused_at_start
+            self.result.problem = None if refused_at_start else str(error)
         except Exception as error:
             self.result.problem = repr(error)
         return self.result
 
-    def _step(self, number: int, step: PlannedStep) -> None:
+    def _run_step(self, step_number: int, step: PlannedStep) -> None:
         if step.kind is StepKind.PAUSE:
             time.sleep(step.seconds)
-        elif step.kind is StepKind.SAY:
-            seed = zlib.crc32(f"{self._planned.name}-{number}".encode())
-            self._say(text_of(step.prompt, seed), step.answer)
+        elif step.kind is StepKind.CHAT:
+            seed = zlib.crc32(f"{self._planned.name}-{step_number}".encode())
+            self._chat(make_text(step.prompt_tokens, seed), step.answer_tokens)
         else:
-            self._tool(number, step)
-        time.sleep(CLIENT_DELAY)
+            self._call_tool(step_number, step)
+        time.sleep(STEP_INTERVAL)
 
     def _headers(self) -> dict[str, str]:
         return {"X-Program-Id": self._program, "X-Call-Seq": str(self._seq + 1)}
 
-    def _say(self, text: str, answer: int) -> None:
+    def _chat(self, text: str, answer_tokens: int) -> None:
         self._messages.append({"role": "user", "content": text})
         body = {
             "model": MODEL,
             "messages": self._messages,
             "stream": True,
             "stream_options": {"include_usage": True},
-            "max_tokens": answer,
-            "stand_in": {"answer_tokens": answer},
+            "max_tokens": answer_tokens,
+            "stand_in": {"answer_tokens": answer_tokens},
         }
-        content, usage = self._insist(body)
+        content, usage = self._stream_with_retries(body)
         self._messages.append({"role": "assistant", "content": content})
         cached = usage["prompt_tokens_details"]["cached_tokens"]
-        self.result.wasted += max(0, self._context - cached)
-        self.result.prompt += usage["prompt_tokens"]
-        self._context = usage["total_tokens"]
+        self.result.uncached_tokens += max(0, self._context_tokens - cached)
+        self.result.prompt_tokens += usage["prompt_tokens"]
+        self._context_tokens = usage["total_tokens"]
         self._seq += 1
-        if len(content) < answer * 4:
-            raise RuntimeError(f"answer of {len(content)} characters, not {answer * 4}")
+        if len(content) < answer_tokens * 4:
+            raise RuntimeError(
+                f"answer of {len(content)} characters, not {answer_tokens * 4}"
+            )
 
-    def _insist(self, body: dict[str, Any]) -> tuple[str, dict[str, Any]]:
-        deadline = time.monotonic() + GIVE_UP
+    def _stream_with_retries(self, body: dict[str, Any]) -> tuple[str, dict[str, Any]]:
+        deadline = time.monotonic() + RETRY_TIMEOUT
         while True:
             try:
-                return self._ask(body)
+                return self._stream_answer(body)
             except ClientError as error:
-                again = error.body.get("not_run") is True or error.status == 200
+                retryable = error.body.get("not_run") is True or error.status == 200
                 wait = error.body.get("retry_after")
-                if not again or wait is None or time.monotonic() > deadline:
+                if not retryable or wait is None or time.monotonic() > deadline:
                     raise
                 if self._seq == 0 and error.body.get("kind") == "overloaded":
                     raise
                 time.sleep(min(wait, 2.0))
 
-    def _ask(self, body: dict[str, Any]) -> tuple[str, dict[str, Any]]:
-        begun = time.monotonic()
+    def _stream_answer(self, body: dict[str, Any]) -> tuple[str, dict[str, Any]]:
+        started = time.monotonic()
         parts: list[str] = []
         usage: dict[str, Any] = {}
         path = "/v1/chat/completions"
         for event in self._client.stream(path, body, self._headers()):
             for choice in event["choices"]:
-                piece = choice["delta"].get("content")
-                if piece:
+                content = choice["delta"].get("content")
+                if content:
                     if not parts:
-                        self.result.first_tokens.append(time.monotonic() - begun)
-                    parts.append(piece)
+                        self.result.first_tokens.append(time.monotonic() - started)
+                    parts.append(content)
             usage = event.get("usage") or usage
         return "".join(parts), usage
 
-    def _tool(self, number: int, step: PlannedStep) -> None:
+    def _call_tool(self, step_number: int, step: PlannedStep) -> None:
         headers = self._headers()
-        headers["Idempotency-Key"] = f"{self._program}-{number}"
-        if step.once:
+        headers["Idempotency-Key"] = f"{self._program}-{step_number}"
+        if step.non_idempotent:
             headers["X-Non-Idempotent"] = "true"
         path = f"/v1/programs/{self._program}/tools/{SERVICE}/run"
         self._client.request(
@@ -142,31 +150,33 @@
         )
         self._seq += 1
 
-    def _end(self) -> None:
+    def _end_program(self) -> None:
         path = f"/v1/programs/{self._program}"
         try:
             self._client.request("DELETE", path, patient=True)
         except (ClientError, urllib3.exceptions.HTTPError):
-            # The answers were all there; the idle limit ends the program.
+            # All calls succeeded, and the idle limit will end the program.
             self.result.problem = "could not be ended"
 
 
-def drive(
-    fleet: Cluster, plan: list[PlannedProgram], prefix: str
+def run_workload(
+    cluster: Cluster, programs: list[PlannedProgram], prefix: str
 ) -> list[ProgramResult]:
-    """Run all programs at their times and return how they went."""
-    threading.stack_size(STACK_BYTES)
+    """Run each program from its start time on and return the results."""
+    threading.stack_size(THREAD_STACK_BYTES)
     clients = [
-        Client(url=url, key=CALLER_KEY, connections=256) for url in fleet.gateway_urls()
+        Client(url=url, key=CALLER_KEY, connections=256)
+        for url in cluster.gateway_urls()
     ]
     callers = [
-        ProgramCaller(planned=one, clients=clients, prefix=prefix) for one in plan
+        ProgramCaller(planned=program, clients=clients, prefix=prefix)
+        for program in programs
     ]
-    threads = [threading.Thread(target=one.run, daemon=True) for one in callers]
-    begun = time.monotonic()
-    for planned, thread in zip(plan, threads, strict=True):
-        time.sleep(max(0.0, begun + planned.start - time.monotonic()))
+    threads = [threading.Thread(target=caller.run, daemon=True) for caller in callers]
+    started = time.monotonic()
+    for planned, thread in zip(programs, threads, strict=True):
+        time.sleep(max(0.0, started + planned.start - time.monotonic()))
         thread.start()
     for thread in threads:
-        thread.join(GIVE_UP * 4)
-    return [one.result for one in callers]
+        thread.join(RETRY_TIMEOUT * 4)
+    return [caller.result for caller in callers]
--- a/sequoiaarch/bench/soak.py
+++ b/sequoiaarch/bench/soak.py
@@ -1,7 +1,8 @@
-"""Run programs while processes die, pause and the log goes away.
+"""Run programs under random faults and check the guarantees of the system.
 
-Each caller runs one program after the other and behaves as callers are told
-to. What every caller saw is compared with what the targets and the log saw.
+Each caller runs one program after the other and retries as the API allows. Its
+answers are checked against the committed history, the executions that services
+counted and the caches of the engines.
 """
 
 from __future__ import annotations
@@ -28,26 +29,26 @@
 from ..standins.platform import Faults
 from .cluster import CALLER_KEY, MODEL, SERVICE, WORKSPACE, Cluster, Deployment, Node
 
-CALLERS = 12
-TURNS = 4
+CALLER_COUNT = 12
+TURNS_PER_PROGRAM = 4
 ANSWER_TOKENS = 30
-ASK_LIMIT = 90.0
-ASK_PAUSE = 0.1
-QUIET_AT_END = 5.0
-MEMORY_LIMIT = 60.0
+RETRY_TIMEOUT = 90.0  # seconds
+RETRY_PAUSE = 0.1  # seconds
+RECOVERY_TIME = 5.0  # seconds without faults at the end
+MEMORY_TIMEOUT = 60.0  # seconds
 BUDGET = 200_000
-TROUBLED = (
+FAULT_ERRORS = (
     RuntimeError,
     queue.Empty,
     subprocess.TimeoutExpired,
     ClientError,
     urllib3.exceptions.HTTPError,
 )
-REPEATED = {"interrupted", "superseded", "internal", "deadline_exceeded"}
+RETRIED_KINDS = {"interrupted", "superseded", "internal", "deadline_exceeded"}
 
 
 class Property(Enum):
-    """Name what must always hold, in the words of the brief's list."""
+    """Guarantees that the soak checks; the values appear in its report."""
 
     ORDER = "calls of one program run in order"
     HISTORY = "history is never lost and never mixed"
@@ -62,7 +63,7 @@
 
 
 class Report(msgspec.Struct, kw_only=True):
-    """Tell how a soak went."""
+    """Results of a soak, with violations by property."""
 
     seed: int
     seconds: float
@@ -74,65 +75,69 @@
     violations: dict[str, list[str]]
 
 
-class Tally:
-    """Count what happens, from all threads."""
+class SoakResults:
+    """Thread-safe counters of events and list of violations."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
         self.counts: Counter[str] = Counter()
-        self.violations: dict[Property, list[str]] = {one: [] for one in Property}
+        self.violations: dict[Property, list[str]] = {
+            violated: [] for violated in Property
+        }
 
-    def count(self, what: str) -> None:
+    def count(self, event: str) -> None:
         """Count one event."""
         with self._lock:
-            self.counts[what] += 1
+            self.counts[event] += 1
 
-    def violate(self, broken: Property, text: str) -> None:
-        """Note that a property did not hold."""
+    def add_violation(self, violated: Property, text: str) -> None:
+        """Record that a property was violated."""
         with self._lock:
-            self.violations[broken].append(text)
+            self.violations[violated].append(text)
 
 
 class SoakCaller:
-    """Run one program after the other until the time is over."""
+    """A caller that runs one program after the other."""
 
-    def __init__(self, *, number: int, urls: list[str], tally: Tally) -> None:
+    def __init__(self, *, number: int, urls: list[str], results: SoakResults) -> None:
         self._number = number
         self._clients = [Client(url=url, key=CALLER_KEY) for url in urls]
-        self._tally = tally
+        self._results = results
         self._rng = random.Random(number)
         self.outcomes: dict[str, str] = {}
         self.programs: list[str] = []
 
-    def run(self, over: threading.Event) -> None:
-        """Run programs until it is over; the last one is finished."""
+    def run(self, stop_requested: threading.Event) -> None:
+        """Run programs until a stop is requested; the last program is completed."""
         count = 0
-        while not over.is_set():
+        while not stop_requested.is_set():
             name = f"soak-{self._number}-{count}"
             count += 1
             try:
-                self._program(name)
+                self._run_program(name)
                 self.programs.append(name)
-                self._tally.count("programs")
+                self._results.count("programs")
             except Exception as error:
-                self._tally.violate(Property.ANSWER, f"{name}: {error!r}")
+                self._results.add_violation(Property.ANSWER, f"{name}: {error!r}")
 
-    def _program(self, name: str) -> None:
+    def _run_program(self, name: str) -> None:
         messages: list[dict[str, Any]] = []
         seq = 0
-        for turn in range(TURNS):
+        for turn in range(TURNS_PER_PROGRAM):
             seq += 1
             messages.append({"role": "user", "content": f"{name} turn {turn}"})
-            answer = self._turn(name, seq, messages)
+            answer = self._run_turn(name, seq, messages)
             messages.append({"role": "assistant", "content": answer})
             time.sleep(self._rng.uniform(0, 0.1))
             if turn == 1:
-                seq += self._tool(name, seq + 1)
+                seq += self._call_tool(name, seq + 1)
         self._check_history(name, messages)
-        self._insist(lambda client: client.request("DELETE", f"/v1/programs/{name}"))
+        self._call_with_retries(
+            lambda client: client.request("DELETE", f"/v1/programs/{name}")
+        )
         self._check_budget(name)
 
-    def _turn(self, name: str, seq: int, messages: list[dict[str, Any]]) -> str:
+    def _run_turn(self, name: str, seq: int, messages: list[dict[str, Any]]) -> str:
         body = {
             "model": MODEL,
             "messages": messages,
@@ -141,24 +146,26 @@
         }
         headers = {"X-Program-Id": name, "X-Call-Seq": str(seq)}
 
-        def ask(client: Client) -> str:
+        def send_request(client: Client) -> str:
             parts = []
             for event in client.stream("/v1/chat/completions", body, headers):
                 parts.append(event["choices"][0]["delta"].get("content") or "")
             return "".join(parts)
 
-        answer = self._insist(ask)
-        chat = ChatBody(messages=[ChatMessage(**one) for one in messages], model=MODEL)
+        answer = self._call_with_retries(send_request)
+        chat = ChatBody(
+            messages=[ChatMessage(**message) for message in messages], model=MODEL
+        )
         expected = Sequence(body=chat, key="", stream="", order=0).text(
             0, ANSWER_TOKENS
         )
         if answer != expected:
             text = f"{name} call {seq}: {len(answer)} of {len(expected)} characters"
-            self._tally.violate(Property.ANSWER, text)
+            self._results.add_violation(Property.ANSWER, text)
         return answer
 
-    def _tool(self, name: str, seq: int) -> int:
-        """Call the tool once and return how many numbers that took."""
+    def _call_tool(self, name: str, seq: int) -> int:
+        """Call a non-idempotent tool and return the number of sequence numbers used."""
         headers = {
             "X-Call-Seq": str(seq),
             "Idempotency-Key": name,
@@ -166,163 +173,174 @@
         }
         path = f"/v1/programs/{name}/tools/{SERVICE}/pay"
 
-        def ask(client: Client) -> Any:
+        def send_request(client: Client) -> Any:
             return client.request("POST", path, {"delay": 0.05}, headers)
 
         try:
-            self._insist(ask)
+            self._call_with_retries(send_request)
         except ClientError as error:
             if error.body.get("kind") != "outcome_unknown":
                 raise
             self.outcomes[name] = "unknown"
-            self._tally.count("unknown")
+            self._results.count("unknown")
             return 1
         self.outcomes[name] = "done"
         return 1
 
-    def _insist(self, ask: Callable[[Client], Any]) -> Any:
-        deadline = time.monotonic() + ASK_LIMIT
-        place = self._rng.randrange(len(self._clients))
-        self._tally.count("calls")
+    def _call_with_retries(self, send_request: Callable[[Client], Any]) -> Any:
+        deadline = time.monotonic() + RETRY_TIMEOUT
+        client_index = self._rng.randrange(len(self._clients))
+        self._results.count("calls")
         while True:
             try:
-                return ask(self._clients[place % len(self._clients)])
+                return send_request(self._clients[client_index % len(self._clients)])
             except (ClientError, urllib3.exceptions.HTTPError) as error:
                 body = getattr(error, "body", {})
-                again = body.get("not_run") is True or body.get("kind") in REPEATED
-                if (body and not again) or time.monotonic() > deadline:
+                retryable = (
+                    body.get("not_run") is True or body.get("kind") in RETRIED_KINDS
+                )
+                if (body and not retryable) or time.monotonic() > deadline:
                     raise
-            self._tally.count("again")
-            place += 1
-            time.sleep(ASK_PAUSE)
+            self._results.count("again")
+            client_index += 1
+            time.sleep(RETRY_PAUSE)
 
     def _check_history(self, name: str, messages: list[dict[str, Any]]) -> None:
         path = f"/v1/programs/{name}"
-        deadline = time.monotonic() + ASK_LIMIT
-        kept: list[dict[str, Any]] = []
+        deadline = time.monotonic() + RETRY_TIMEOUT
+        committed: list[dict[str, Any]] = []
         while time.monotonic() < deadline:
-            answer = self._insist(lambda client: client.request("GET", path))
+            answer = self._call_with_retries(lambda client: client.request("GET", path))
             seqs = [entry["seq"] for entry in answer["history"]]
             if seqs != list(range(1, len(seqs) + 1)):
-                self._tally.violate(Property.ORDER, f"{name}: {seqs}")
-            kept = [
-                {"role": one["role"], "content": one["content"]}
+                self._results.add_violation(Property.ORDER, f"{name}: {seqs}")
+            committed = [
+                {"role": message["role"], "content": message["content"]}
                 for entry in answer["history"]
-                for one in entry["messages"]
+                for message in entry["messages"]
             ]
-            if len(kept) >= len(messages):
+            if len(committed) >= len(messages):
                 break
-            time.sleep(ASK_PAUSE)
-        if kept != messages:
-            text = f"{name}: {len(kept)} of {len(messages)} messages kept"
-            self._tally.violate(Property.HISTORY, text)
+            time.sleep(RETRY_PAUSE)
+        if committed != messages:
+            text = f"{name}: {len(committed)} of {len(messages)} messages committed"
+            self._results.add_violation(Property.HISTORY, text)
 
     def _check_budget(self, name: str) -> None:
         path = f"/v1/programs/{name}"
-        answer = self._insist(lambda client: client.request("GET", path))
+        answer = self._call_with_retries(lambda client: client.request("GET", path))
         if answer["spent"] + answer["reserved"] > answer["budget"]:
-            self._tally.violate(Property.BUDGET, f"{name}: {answer['spent']}")
+            self._results.add_violation(Property.BUDGET, f"{name}: {answer['spent']}")
         if answer["state"] != "ended":
-            self._tally.violate(Property.MEMORY, f"{name} did not end")
+            self._results.add_violation(Property.MEMORY, f"{name} did not end")
+
 
+class FaultInjector:
+    """Inject random faults into a cluster.
 
-class Trouble:
-    """Disturb a fleet at random from a seed."""
+    The names of the actions appear in the report if they fail.
+    """
 
-    def __init__(self, *, fleet: Cluster, rng: random.Random, tally: Tally) -> None:
-        self._fleet = fleet
+    def __init__(
+        self, *, cluster: Cluster, rng: random.Random, results: SoakResults
+    ) -> None:
+        self._cluster = cluster
         self._rng = rng
-        self._tally = tally
-        plan = fleet.deployment
-        self._sidecars = [one.name for one in [*plan.engines, *plan.services]]
-        self._gateways = [one.name for one in plan.gateways]
-        self._newest = 0
-
-    def run(self, over: threading.Event) -> None:
-        """Do something every few seconds until it is over."""
-        works = [self.kill, self.kill, self.pause, self.pause, self.cut_log]
-        works += [self.slow_log, self.lose_replies, self.stop, self.publish]
-        while not over.wait(self._rng.uniform(0.3, 1.2)):
-            work = self._rng.choice(works)
+        self._results = results
+        deployment = cluster.deployment
+        self._sidecars = [
+            node.name for node in [*deployment.engines, *deployment.services]
+        ]
+        self._gateways = [node.name for node in deployment.gateways]
+        self._config_version = 0
+
+    def run(self, stop_requested: threading.Event) -> None:
+        """Run a random action about every second until a stop is requested."""
+        actions = [self.kill, self.kill, self.pause, self.pause, self.cut_log]
+        actions += [self.slow_log, self.lose_replies, self.stop, self.publish]
+        while not stop_requested.wait(self._rng.uniform(0.3, 1.2)):
+            action = self._rng.choice(actions)
             try:
-                work()
-            except TROUBLED:
-                # What is disturbed may not answer the one who disturbs it.
-                self._tally.count(f"fault not done: {work.__name__}")
+                action()
+            except FAULT_ERRORS:
+                # The action itself can fail because of an earlier fault.
+                self._results.count(f"fault not done: {action.__name__}")
 
-    def _any(self) -> str:
+    def _random_process(self) -> str:
         return self._rng.choice([*self._sidecars, *self._gateways])
 
     def kill(self) -> None:
-        """Kill a process and start it again after a while."""
-        name = self._any()
-        self._tally.count(f"fault: kill {role_of(name)}")
-        self._fleet.processes[name].signal(signal.SIGKILL)
+        """Kill a process and restart it after a random time."""
+        name = self._random_process()
+        self._results.count(f"fault: kill {role_of(name)}")
+        self._cluster.processes[name].signal(signal.SIGKILL)
         time.sleep(self._rng.uniform(0.2, 2.0))
-        self._fleet.restart(name)
+        self._cluster.restart(name)
 
     def stop(self) -> None:
-        """Stop a process in an orderly way and start it again."""
-        name = self._any()
-        self._tally.count(f"fault: stop {role_of(name)}")
-        process = self._fleet.processes[name]
+        """Stop a process gracefully and restart it."""
+        name = self._random_process()
+        self._results.count(f"fault: stop {role_of(name)}")
+        process = self._cluster.processes[name]
         process.signal(signal.SIGTERM)
-        code = process.wait()
-        if code != 0:
-            self._tally.violate(Property.STOP, f"{name} ended with {code}")
-        self._fleet.restart(name)
+        exit_code = process.wait()
+        if exit_code != 0:
+            self._results.add_violation(
+                Property.STOP, f"{name} exited with code {exit_code}"
+            )
+        self._cluster.restart(name)
 
     def pause(self) -> None:
-        """Pause a process and let it go on."""
-        name = self._any()
-        self._tally.count(f"fault: pause {role_of(name)}")
-        process = self._fleet.processes[name]
+        """Suspend a process for a random time."""
+        name = self._random_process()
+        self._results.count(f"fault: pause {role_of(name)}")
+        process = self._cluster.processes[name]
         process.signal(signal.SIGSTOP)
         time.sleep(self._rng.uniform(0.5, 5.0))
         process.signal(signal.SIGCONT)
 
     def cut_log(self) -> None:
-        """Take the log away for a while."""
-        self._tally.count("fault: log down")
-        self._fleet.set_faults(Faults(down=True))
+        """Make the log unavailable for a random time."""
+        self._results.count("fault: log down")
+        self._cluster.set_faults(Faults(down=True))
         time.sleep(self._rng.uniform(0.5, 4.0))
-        self._fleet.set_faults(Faults())
+        self._cluster.set_faults(Faults())
 
     def slow_log(self) -> None:
-        """Make the log slow for a while."""
-        self._tally.count("fault: log slow")
-        self._fleet.set_faults(Faults(delay=0.2))
+        """Make the log slow for a random time."""
+        self._results.count("fault: log slow")
+        self._cluster.set_faults(Faults(delay=0.2))
         time.sleep(self._rng.uniform(1.0, 3.0))
-        self._fleet.set_faults(Faults())
+        self._cluster.set_faults(Faults())
 
     def lose_replies(self) -> None:
-        """Lose the replies to some appends."""
-        self._tally.count("fault: replies lost")
-        self._fleet.set_faults(Faults(lose_replies=5))
+        """Lose the replies to the next appends."""
+        self._results.count("fault: replies lost")
+        self._cluster.set_faults(Faults(lose_replies=5))
 
     def publish(self) -> None:
-        """Publish, and see that no gateway goes back."""
-        self._tally.count("fault: publish")
+        """Publish a document and check that the version does not decrease."""
+        self._results.count("fault: publish")
         document = {
             "kind": "Policy",
             "name": "soak",
             "selector": {"number": str(self._rng.random())},
         }
-        self._fleet.publish([document], wait_ready=False)
-        status = self._fleet.operator().request("GET", "/v1/admin/status")
-        if status["config_version"] < self._newest:
-            text = f"{status['config_version']} after {self._newest}"
-            self._tally.violate(Property.CONFIGURATION, text)
-        self._newest = status["config_version"]
+        self._cluster.publish([document], wait_ready=False)
+        status = self._cluster.operator().request("GET", "/v1/admin/status")
+        if status["config_version"] < self._config_version:
+            text = f"version {status['config_version']} after {self._config_version}"
+            self._results.add_violation(Property.CONFIGURATION, text)
+        self._config_version = status["config_version"]
 
 
 def role_of(name: str) -> str:
-    """Return the role of a process by its name."""
+    """Return the role part of a process name."""
     return name.rsplit("-", 1)[0]
 
 
 def soak_deployment() -> Deployment:
-    """Return two gateways, three engines and two services."""
+    """Return a deployment of two gateways, three engines and two services."""
     return Deployment(
         name="soak",
         gateways=[Node(name=f"gateway-{n}", data_centre="here") for n in (1, 2)],
@@ -334,93 +352,109 @@
     )
 
 
-def check_tools(fleet: Cluster, callers: list[SoakCaller], tally: Tally) -> None:
-    """Compare what callers were told with what the tools ran."""
-    runs: Counter[str] = Counter()
-    for place in fleet.deployment.services:
-        runs.update(fleet.get(f"{place.name}-service", "/executions"))
+def check_tools(
+    cluster: Cluster, callers: list[SoakCaller], results: SoakResults
+) -> None:
+    """Compare the outcomes that callers got with the executions of the services."""
+    executions: Counter[str] = Counter()
+    for node in cluster.deployment.services:
+        executions.update(cluster.get(f"{node.name}-service", "/executions"))
     outcomes = {
         key: value for caller in callers for key, value in caller.outcomes.items()
     }
-    for key, count in runs.items():
+    for key, count in executions.items():
         if count > 1:
-            tally.violate(Property.ONCE, f"{key} ran {count} times")
+            results.add_violation(Property.ONCE, f"{key} ran {count} times")
     for key, outcome in outcomes.items():
-        if outcome == "done" and runs[key] != 1:
-            tally.violate(Property.ONCE, f"{key} answered, ran {runs[key]} times")
-    for key in runs.keys() - outcomes.keys():
-        tally.violate(Property.NOT_RUN, f"{key} ran, its caller was never told")
+        if outcome == "done" and executions[key] != 1:
+            results.add_violation(
+                Property.ONCE, f"{key} was answered, but ran {executions[key]} times"
+            )
+    for key in executions.keys() - outcomes.keys():
+        results.add_violation(
+            Property.NOT_RUN, f"{key} ran, but its caller got no outcome"
+        )
 
 
-def check_memory(fleet: Cluster, callers: list[SoakCaller], tally: Tally) -> None:
-    """Wait until no engine holds a program that has ended."""
+def check_memory(
+    cluster: Cluster, callers: list[SoakCaller], results: SoakResults
+) -> None:
+    """Wait until no engine caches a prefix of an ended program."""
     ended = {f"{WORKSPACE}:{name}" for caller in callers for name in caller.programs}
-    deadline = time.monotonic() + MEMORY_LIMIT
-    left: set[str] = set()
+    deadline = time.monotonic() + MEMORY_TIMEOUT
+    cached_keys: set[str] = set()
     while time.monotonic() < deadline:
-        left = set()
-        for place in fleet.deployment.engines:
-            listing = fleet.get(f"{place.name}-engine", "/v1/cache")
-            left |= ended & (listing["cached"].keys() | listing["exported"].keys())
-        if not left:
+        cached_keys = set()
+        for node in cluster.deployment.engines:
+            listing = cluster.get(f"{node.name}-engine", "/v1/cache")
+            cached_keys |= ended & (
+                listing["cached"].keys() | listing["exported"].keys()
+            )
+        if not cached_keys:
             return
         time.sleep(0.5)
-    for key in sorted(left):
-        tally.violate(Property.MEMORY, f"{key} is still held")
+    for key in sorted(cached_keys):
+        results.add_violation(Property.MEMORY, f"{key} is still cached")
 
 
 def run_soak(seconds: float, seed: int) -> None:
-    """Run the soak, print its report, and exit non-zero on any violation."""
-    tally = Tally()
-    fleet = Cluster(deployment=soak_deployment())
-    over = threading.Event()
-    calm = threading.Event()
-    begun = time.monotonic()
+    """Run the soak and print its report; exit with code 1 on any violation."""
+    results = SoakResults()
+    cluster = Cluster(deployment=soak_deployment())
+    stop_requested = threading.Event()
+    faults_stopped = threading.Event()
+    started = time.monotonic()
     try:
-        fleet.start()
+        cluster.start()
         callers = [
-            SoakCaller(number=number, urls=fleet.gateway_urls(), tally=tally)
-            for number in range(CALLERS)
+            SoakCaller(number=number, urls=cluster.gateway_urls(), results=results)
+            for number in range(CALLER_COUNT)
         ]
         threads = [
-            threading.Thread(target=caller.run, args=(over,), daemon=True)
+            threading.Thread(target=caller.run, args=(stop_requested,), daemon=True)
             for caller in callers
         ]
-        trouble = Trouble(fleet=fleet, rng=random.Random(seed), tally=tally)
-        troubling = threading.Thread(target=trouble.run, args=(calm,), daemon=True)
-        for thread in [*threads, troubling]:
+        injector = FaultInjector(
+            cluster=cluster, rng=random.Random(seed), results=results
+        )
+        injector_thread = threading.Thread(
+            target=injector.run, args=(faults_stopped,), daemon=True
+        )
+        for thread in [*threads, injector_thread]:
             thread.start()
         time.sleep(seconds)
-        calm.set()
-        troubling.join()
-        time.sleep(QUIET_AT_END)
-        over.set()
+        faults_stopped.set()
+        injector_thread.join()
+        time.sleep(RECOVERY_TIME)
+        stop_requested.set()
         for thread in threads:
-            thread.join(ASK_LIMIT * 4)
-        check_tools(fleet, callers, tally)
-        check_memory(fleet, callers, tally)
+            thread.join(RETRY_TIMEOUT * 4)
+        check_tools(cluster, callers, results)
+        check_memory(cluster, callers, results)
     finally:
-        fleet.stop()
-    report = report_of(tally, seed, time.monotonic() - begun)
+        cluster.stop()
+    report = make_report(results, seed, time.monotonic() - started)
     click.echo(msgspec.json.format(msgspec.json.encode(report)).decode())
     if any(report.violations.values()):
         sys.exit(1)
 
 
-def report_of(tally: Tally, seed: int, seconds: float) -> Report:
-    """Return the report of what was counted."""
+def make_report(results: SoakResults, seed: int, seconds: float) -> Report:
+    """Make the report of the collected results."""
     faults = {
         name.removeprefix("fault: "): count
-        for name, count in sorted(tally.counts.items())
+        for name, count in sorted(results.counts.items())
         if name.startswith("fault")
     }
     return Report(
         seed=seed,
         seconds=round(seconds, 1),
-        programs_finished=tally.counts["programs"],
-        calls=tally.counts["calls"],
-        asked_again=tally.counts["again"],
-        outcomes_unknown=tally.counts["unknown"],
+        programs_finished=results.counts["programs"],
+        calls=results.counts["calls"],
+        asked_again=results.counts["again"],
+        outcomes_unknown=results.counts["unknown"],
         faults=faults,
-        violations={one.value: found for one, found in tally.violations.items()},
+        violations={
+            violated.value: texts for violated, texts in results.violations.items()
+        },
     )
--- a/sequoiaarch/bench/workload.py
+++ b/sequoiaarch/bench/workload.py
@@ -1,4 +1,4 @@
-"""Make the seeded workloads of both deployments."""
+"""Generate seeded workloads for two deployments."""
 
 from __future__ import annotations
 
@@ -23,31 +23,34 @@
     load_lag=0.5,
     event_lag=0.5,
 )
-CLIENT_DELAY = 0.003
+STEP_INTERVAL = 0.003  # seconds that a client takes between steps
 
 
 class StepKind(Enum):
-    """Name what a program does next."""
+    """Kind of a step: model call, pause or tool call."""
 
-    SAY = "say"
+    CHAT = "say"
     PAUSE = "pause"
     TOOL = "tool"
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlannedStep:
-    """Plan one step; tokens of prompt and answer, seconds of pause or tool."""
+    """One step of a program; `seconds` is the duration of a pause or tool call."""
 
     kind: StepKind
-    prompt: int = 0
-    answer: int = 0
+    prompt_tokens: int = 0
+    answer_tokens: int = 0
     seconds: float = 0.0
-    once: bool = False
+    non_idempotent: bool = False
 
 
 @dataclass(frozen=True, kw_only=True)
 class PlannedProgram:
-    """Plan one program; `start` is in seconds after the load begins."""
+    """One program of a workload.
+
+    `start` is in seconds from the start of the workload, `gateway` an index.
+    """
 
     name: str
     start: float
@@ -56,23 +59,23 @@
     steps: list[PlannedStep] = field(default_factory=list)
 
     @property
-    def pauses(self) -> float:
-        """Return the seconds that the program itself spends."""
+    def seconds_outside_model(self) -> float:
+        """Return the seconds that the program spends in pauses and tool calls."""
         return sum(step.seconds for step in self.steps)
 
 
-def kunene() -> Deployment:
-    """Return the intake deployment at its size."""
-    yard = ["gate", "bale-yard", "admin-wing"]
+def kunene_deployment() -> Deployment:
+    """Return the intake deployment: three data centres on one site."""
+    data_centres = ["gate", "bale-yard", "admin-wing"]
     return Deployment(
         name="kunene",
-        gateways=[Node(name=f"gateway-{dc}", data_centre=dc) for dc in yard],
+        gateways=[Node(name=f"gateway-{dc}", data_centre=dc) for dc in data_centres],
         engines=[
-            Node(name=f"inspection-{number + 1}", data_centre=yard[number % 3])
+            Node(name=f"inspection-{number + 1}", data_centre=data_centres[number % 3])
             for number in range(5)
         ],
         services=[
-            Node(name=f"desk-{number + 1}", data_centre=yard[number])
+            Node(name=f"desk-{number + 1}", data_centre=data_centres[number])
             for number in range(3)
         ],
         delay=0.0004,
@@ -80,22 +83,26 @@
     )
 
 
-def presupuesto() -> Deployment:
-    """Return the forecasting deployment at its size."""
-    towns = ["quito-1", "quito-2", "cuenca", "ambato"]
+def presupuesto_deployment() -> Deployment:
+    """Return the forecasting deployment: four data centres in three cities."""
+    data_centres = ["quito-1", "quito-2", "cuenca", "ambato"]
     return Deployment(
         name="presupuesto",
-        gateways=[Node(name=f"gateway-{dc}", data_centre=dc) for dc in towns],
-        engines=[Node(name=f"forecast-{dc}", data_centre=dc) for dc in towns],
-        services=[Node(name=f"council-{dc}", data_centre=dc) for dc in towns],
+        gateways=[Node(name=f"gateway-{dc}", data_centre=dc) for dc in data_centres],
+        engines=[Node(name=f"forecast-{dc}", data_centre=dc) for dc in data_centres],
+        services=[Node(name=f"council-{dc}", data_centre=dc) for dc in data_centres],
         delay=0.0013,
         options=BENCH_ENGINE,
     )
 
 
 def intake_program(rng: random.Random) -> list[PlannedStep]:
-    """Return the steps of one load at the weighbridge."""
-    steps = [PlannedStep(kind=StepKind.SAY, prompt=900, answer=rng.randint(30, 70))]
+    """Return the steps of an intake: short model calls, tools and pauses."""
+    steps = [
+        PlannedStep(
+            kind=StepKind.CHAT, prompt_tokens=900, answer_tokens=rng.randint(30, 70)
+        )
+    ]
     for _ in range(rng.choice([3, 4, 4, 5, 7])):
         if rng.random() < 0.5:
             steps.append(
@@ -107,77 +114,85 @@
             )
         steps.append(
             PlannedStep(
-                kind=StepKind.SAY,
-                prompt=rng.randint(120, 500),
-                answer=rng.randint(20, 100),
+                kind=StepKind.CHAT,
+                prompt_tokens=rng.randint(120, 500),
+                answer_tokens=rng.randint(20, 100),
             )
         )
-    steps.append(PlannedStep(kind=StepKind.TOOL, seconds=0.05, once=True))
+    steps.append(PlannedStep(kind=StepKind.TOOL, seconds=0.05, non_idempotent=True))
     return steps
 
 
 def clerk_program(rng: random.Random) -> list[PlannedStep]:
-    """Return the steps of one long planning chat."""
-    steps = [PlannedStep(kind=StepKind.SAY, prompt=1500, answer=rng.randint(40, 120))]
+    """Return the steps of a chat with longer prompts and pauses."""
+    steps = [
+        PlannedStep(
+            kind=StepKind.CHAT, prompt_tokens=1500, answer_tokens=rng.randint(40, 120)
+        )
+    ]
     for _ in range(rng.choice([4, 5, 6, 8])):
         steps.append(PlannedStep(kind=StepKind.PAUSE, seconds=rng.uniform(0.3, 1.5)))
         steps.append(
             PlannedStep(
-                kind=StepKind.SAY,
-                prompt=rng.randint(100, 600),
-                answer=rng.randint(40, 160),
+                kind=StepKind.CHAT,
+                prompt_tokens=rng.randint(100, 600),
+                answer_tokens=rng.randint(40, 160),
             )
         )
     if rng.random() < 0.5:
-        steps.append(PlannedStep(kind=StepKind.TOOL, seconds=0.05, once=True))
+        steps.append(PlannedStep(kind=StepKind.TOOL, seconds=0.05, non_idempotent=True))
     return steps
 
 
 def overnight_program(rng: random.Random) -> list[PlannedStep]:
-    """Return the steps of one scenario run, which nobody waits for."""
-    steps = [PlannedStep(kind=StepKind.SAY, prompt=2500, answer=200)]
+    """Return the steps of a batch program that no user waits for."""
+    steps = [PlannedStep(kind=StepKind.CHAT, prompt_tokens=2500, answer_tokens=200)]
     for _ in range(rng.choice([4, 6])):
         steps.append(PlannedStep(kind=StepKind.TOOL, seconds=0.1))
         steps.append(
-            PlannedStep(kind=StepKind.SAY, prompt=400, answer=rng.randint(120, 240))
+            PlannedStep(
+                kind=StepKind.CHAT,
+                prompt_tokens=400,
+                answer_tokens=rng.randint(120, 240),
+            )
         )
     return steps
 
 
 def engine_seconds(steps: list[PlannedStep], options: EngineOptions) -> float:
-    """Return the engine time of a program whose prefix is always cached.
+    """Return the engine time of a program if its prefix is always cached.
 
-    Decoding shares each step among a full batch; every prompt token is
-    computed once.
+    It assumes full batches, which share the time of each step, and counts each
+    prompt token once.
     """
-    step = options.step + options.step_share * options.slots
+    step_seconds = options.step + options.step_share * options.slots
     total = 0.0
-    for one in steps:
-        if one.kind is StepKind.SAY:
-            groups = -(-one.answer // options.group)
-            total += groups * step / options.slots
-            total += one.prompt / options.prefill_rate
+    for step in steps:
+        if step.kind is StepKind.CHAT:
+            group_count = -(-step.answer_tokens // options.group)
+            total += group_count * step_seconds / options.slots
+            total += step.prompt_tokens / options.prefill_rate
     return total
 
 
-def plan(
+def plan_programs(
     deployment: Deployment, *, load: float, seconds: float, seed: int
 ) -> list[PlannedProgram]:
-    """Return the programs that arrive within a time at a share of capacity."""
+    """Return the programs that arrive within `seconds` at a fraction of capacity."""
     rng = random.Random(f"{deployment.name}-{seed}")
     engines = len(deployment.engines)
     programs: list[PlannedProgram] = []
-    due = 0.0
+    start = 0.0
     while True:
         steps, interactive = _next_program(deployment, rng)
         cost = engine_seconds(steps, deployment.options) / engines
-        due += rng.expovariate(1.0) * cost / load
-        if due >= seconds:
+        start += rng.expovariate(1.0) * cost / load
+        if start >= seconds:
             return programs
         programs.append(
             PlannedProgram(
                 name=f"program-{len(programs)}",
-                start=due,
+                start=start,
                 gateway=rng.randrange(len(deployment.gateways)),
                 interactive=interactive,
                 steps=steps,
@@ -195,9 +210,9 @@
     return clerk_program(rng), True
 
 
-def text_of(tokens: int, seed: int) -> str:
-    """Return a text that the stand-in counts as so many tokens."""
-    head = f"{seed:08x} "
-    return (head + "x" * (tokens * CHARACTERS_PER_TOKEN))[
+def make_text(tokens: int, seed: int) -> str:
+    """Return a text that the engine stand-in counts as `tokens` tokens."""
+    prefix = f"{seed:08x} "
+    return (prefix + "x" * (tokens * CHARACTERS_PER_TOKEN))[
         : tokens * CHARACTERS_PER_TOKEN
     ]
--- a/sequoiaarch/samples/runner.py
+++ b/sequoiaarch/samples/runner.py
@@ -55,7 +55,7 @@
         ]
         for step_number, step in enumerate(steps, start=1):
             match step.kind:
-                case StepKind.SAY:
+                case StepKind.CHAT:
                     self._run_chat(program, step, messages, indent)
                 case StepKind.TOOL:
                     self._call_tool(program, step, step_number, indent)
--- a/sequoiaarch/samples/script.py
+++ b/sequoiaarch/samples/script.py
@@ -14,7 +14,7 @@
 class StepKind(Enum):
     """Kind of a step: model call, tool call, pause or sub-agent."""
 
-    SAY = "say"
+    CHAT = "say"
     TOOL = "tool"
     PAUSE = "pause"
     CHILD = "child"
