--- a/sequoiaarch/tests/daemon/process_tests.py
+++ b/sequoiaarch/tests/daemon/process_tests.py
@@ -12,13 +12,13 @@
 from click.testing import CliRunner
 
 from ...__main__ import cli
-from ...bench.fleet import (
+from ...bench.cluster import (
     CALLER_KEY,
     MODEL,
     OPERATOR_KEY,
+    Cluster,
     Deployment,
-    Fleet,
-    Place,
+    Node,
 )
 from ...client import Client
 from ...config.documents import parse_documents
@@ -38,11 +38,11 @@
     return Deployment(
         name="small",
         gateways=[
-            Place(name=f"gateway-{number + 1}", data_centre="here")
+            Node(name=f"gateway-{number + 1}", data_centre="here")
             for number in range(gateways)
         ],
-        engines=[Place(name="engine-1", data_centre="here")],
-        services=[Place(name="tools-1", data_centre="there")],
+        engines=[Node(name="engine-1", data_centre="here")],
+        services=[Node(name="tools-1", data_centre="there")],
         options=EngineOptions(model=MODEL, step=0.002),
         limits=LimitOptions(lame_duck=0.3, drain_timeout=30.0),
     )
@@ -69,7 +69,7 @@
 
     def setUp(self) -> None:
         """Start the processes."""
-        self.fleet = Fleet(deployment=small_deployment())
+        self.fleet = Cluster(deployment=small_deployment())
         self.addCleanup(self.fleet.stop)
         self.fleet.start()
 
@@ -80,7 +80,7 @@
             script = script.model_copy(update={"model": MODEL})
             lines: list[str] = []
             runner = ScriptRunner(
-                client=self.fleet.caller(), script=script, say=lines.append
+                client=self.fleet.caller(), script=script, write_line=lines.append
             )
             program = runner.run()
             path = f"/v1/admin/traces/{runner.trace_id}"
@@ -113,7 +113,7 @@
 
     def stop_under_load(self, stopped: str, gateways: int) -> list[str]:
         """Send SIGTERM to a process under load; return the errors of callers."""
-        fleet = Fleet(deployment=small_deployment(gateways))
+        fleet = Cluster(deployment=small_deployment(gateways))
         self.addCleanup(fleet.stop)
         fleet.start()
         errors: list[str] = []
--- a/sequoiaarch/tests/ledger/fault_injection_tests.py
+++ b/sequoiaarch/tests/ledger/fault_injection_tests.py
@@ -77,10 +77,10 @@
         elif kind == 1:
             faults.down = not faults.down
         elif kind == 2:
-            faults.lost_answers = self.rng.randint(1, 3)
-            faults.late = self.rng.choice((0.0, DELAY))
+            faults.lost_replies = self.rng.randint(1, 3)
+            faults.append_delay = self.rng.choice((0.0, DELAY))
         elif kind == 3:
-            self.store.forget_history()
+            self.store.compact()
         elif kind == 4:
             for program in range(PROGRAMS):
                 partition = process.ledger.partition(_program(program))
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -151,7 +151,7 @@
         first = await self.ledger("a")
         await self.commit(first, "t1", None, b"in1", b"out1")
         await self.commit(first, "t2", "t1", b"in2", b"out2")
-        self.store.forget_history()
+        self.store.compact()
         fresh = await self.ledger("b")
         result = await fresh.history(PROGRAM, TurnId("t2"))
         self.assertEqual(prompt(result), b"in1out1in2out2")
@@ -161,7 +161,7 @@
         first = await self.ledger("a")
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in", b"out")
-        self.store.forget_history()
+        self.store.compact()
         result = await second.history(PROGRAM, TurnId("t1"))
         self.assertEqual(prompt(result), b"inout")
 
@@ -181,8 +181,8 @@
         The late copy arrives after the retry and after the next turn.
         """
         first = await self.ledger("a")
-        self.clients["a"].faults.lost_answers = 1
-        self.clients["a"].faults.late = 0.15
+        self.clients["a"].faults.lost_replies = 1
+        self.clients["a"].faults.append_delay = 0.15
         await self.commit(first, "t1", None, b"in", b"out")
         await self.commit(first, "t2", "t1", b"in2", b"out2")
         await asyncio.sleep(0.25)
@@ -480,7 +480,7 @@
         assert isinstance(hold, Reservation)
         self.assertIs(await hold.verdict(), BudgetVerdict.FITS)
         before = hold.covered or 0
-        self.clients["a"].faults.lost_answers = 1
+        self.clients["a"].faults.lost_replies = 1
         covering = asyncio.create_task(hold.cover(before + 1))
         await asyncio.sleep(0)
         self.assertFalse(hold.is_granted)
--- a/sequoiaarch/tests/platform/end_to_end_tests.py
+++ b/sequoiaarch/tests/platform/end_to_end_tests.py
@@ -110,7 +110,7 @@
                 await tool_answer(exchange)
                 return
             requested.set()
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
 
         await self.add_target("i-1", TOOLS, silent_once)
         await self.add_target("i-2", TOOLS, silent_once)
@@ -122,7 +122,7 @@
         """Send an unsafe request only once if the target never answers."""
 
         async def stay_silent(exchange: TargetExchange) -> None:
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
 
         first = await self.add_target("i-1", TOOLS, stay_silent)
         second = await self.add_target("i-2", TOOLS, stay_silent)
@@ -155,7 +155,7 @@
         """Answer 504 and close the connection to the target at the route's timeout."""
 
         async def hang(exchange: TargetExchange) -> None:
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
 
         target = await self.add_target("i-1", TOOLS, hang)
         daemon = await self.add_daemon("a")
@@ -164,7 +164,7 @@
         async with asyncio.timeout(10):
             while (await self.call(daemon, "/slow/x")).status != 504:
                 await asyncio.sleep(0.01)
-            await target.exchanges[0].left.wait()
+            await target.exchanges[0].disconnected.wait()
 
     async def test_older_configuration(self) -> None:
         """Ignore a configuration with a lower version than the current one."""
--- a/sequoiaarch/tests/platform/soak/faults.py
+++ b/sequoiaarch/tests/platform/soak/faults.py
@@ -187,7 +187,7 @@
         self._end_store_fault()
 
     async def _store_forgets(self) -> None:
-        self._store.forget_history()
+        self._store.compact()
 
     async def _target_trouble(self) -> None:
         target = self._rng.choice(self._targets)
--- a/sequoiaarch/tests/platform/soak/targets.py
+++ b/sequoiaarch/tests/platform/soak/targets.py
@@ -140,7 +140,7 @@
             exchange.reset()
             return
         if fault is TargetFault.NO_ANSWER:
-            await exchange.left.wait()
+            await exchange.disconnected.wait()
             return
         headers = (("X-Attempt-Id", attempt), ("X-Server-Stamp", self._instance))
         await asyncio.sleep(EVENT_SECONDS)
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -96,7 +96,7 @@
     async def test_trimmed_records(self) -> None:
         """Report trimmed records as a gap, not as a failure."""
         await self.append(0, KeyedRecord(key="k", value=b"v"))
-        self.http.store.forget_history()
+        self.http.store.compact()
         page = await self.log.read(PARTITION, Offset(0), wait=0)
         self.assertIs(page, LogGap.TRIMMED)
 
