--- a/sequoiaarch/policies/admission.py
+++ b/sequoiaarch/policies/admission.py
@@ -57,13 +57,13 @@
 
     def admits(self, ticket: Ticket, occupancy: Occupancy) -> bool:
         """Return whether the working set fits with this program."""
-        together = occupancy.running_tokens + ticket.tokens
-        if occupancy.running and together > occupancy.cache_tokens:
+        running_tokens = occupancy.running_tokens + ticket.tokens
+        if occupancy.running and running_tokens > occupancy.cache_tokens:
             return False
         if ticket.started:
             return True
-        need = occupancy.kept_tokens + ticket.tokens + occupancy.growth
-        if need <= occupancy.cache_tokens + occupancy.export_tokens:
+        working_set = occupancy.kept_tokens + ticket.tokens + occupancy.growth
+        if working_set <= occupancy.cache_tokens + occupancy.export_tokens:
             return True
         return occupancy.running < occupancy.slots * UNDERUSED_FRACTION
 
--- a/sequoiaarch/policies/health.py
+++ b/sequoiaarch/policies/health.py
@@ -1,4 +1,4 @@
-"""Eject targets that fail, by own requests and by reports of other hosts."""
+"""Eject targets that fail requests of this host or, by their reports, of others."""
 
 from __future__ import annotations
 
@@ -145,16 +145,16 @@
         self._records.pop(instance, None)
 
     def _record(self, instance: InstanceId) -> _Record:
-        found = self._records.get(instance)
-        if found is None:
-            found = self._records[instance] = _Record()
+        record = self._records.get(instance)
+        if record is None:
+            record = self._records[instance] = _Record()
             if len(self._records) > MAX_RECORDS:
                 del self._records[next(iter(self._records))]
-        return found
+        return record
 
-    def _smoothed_rate(self, record: _Record, now: float, seen: float) -> float:
-        before = _decayed_rate(record, now)
-        return before + FAILURE_SMOOTHING * (seen - before)
+    def _smoothed_rate(self, record: _Record, now: float, result: float) -> float:
+        rate = _decayed_rate(record, now)
+        return rate + FAILURE_SMOOTHING * (result - rate)
 
     def _add_report(
         self, instance: InstanceId, record: _Record, host: HostName, now: float
@@ -167,7 +167,9 @@
             return
         record.reports[host] = now
         recent = [
-            seen for seen in record.reports.values() if seen > now - REPORT_WINDOW
+            reported_at
+            for reported_at in record.reports.values()
+            if reported_at > now - REPORT_WINDOW
         ]
         if not record.ejected and len(recent) < MIN_REPORTERS:
             return
--- a/sequoiaarch/policies/placement.py
+++ b/sequoiaarch/policies/placement.py
@@ -55,8 +55,8 @@
     @property
     def call_seconds(self) -> float:
         """Return the duration of a call at the target in seconds."""
-        known = self.load.call_seconds if self.load else 0.0
-        return known or DEFAULT_CALL_SECONDS
+        reported = self.load.call_seconds if self.load else 0.0
+        return reported or DEFAULT_CALL_SECONDS
 
     @property
     def programs_per_slot(self) -> float:
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Choice:
-    """Name the chosen target and why."""
+    """Name the chosen target and the reason."""
 
     target: TargetName
     reason: str
--- a/sequoiaarch/policies/retention.py
+++ b/sequoiaarch/policies/retention.py
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Victim:
-    """Name a prefix to evict, how and why."""
+    """Name a prefix to evict, the way of its removal and the reason."""
 
     program: ProgramId
     removal: Removal
@@ -85,15 +85,21 @@
 
     def victims(self, prefixes: list[Prefix], needed: int, now: float) -> list[Victim]:
         """Return idle prefixes, the latest expected call first."""
-        idle = [one for one in prefixes if not one.running and not one.exported]
-        idle.sort(key=lambda one: self._expected_return(one, now), reverse=True)
+        idle = [
+            candidate
+            for candidate in prefixes
+            if not candidate.running and not candidate.exported
+        ]
+        idle.sort(
+            key=lambda candidate: self._expected_return(candidate, now), reverse=True
+        )
         chosen: list[Victim] = []
         for prefix in idle:
             if needed <= 0:
                 break
             needed -= prefix.tokens
-            due = self._expected_return(prefix, now)
-            reason = f"expected back in {due:.1f} s, later than the others"
+            expected_return = self._expected_return(prefix, now)
+            reason = f"expected back in {expected_return:.1f} s, later than the others"
             chosen.append(
                 Victim(program=prefix.program, removal=Removal.EXPORT, reason=reason)
             )
@@ -144,14 +150,18 @@
     @property
     def total_tokens(self) -> int:
         """Return the tokens of all prefixes, exported ones included."""
-        return sum(one.tokens for one in self._prefixes.values())
+        return sum(prefix.tokens for prefix in self._prefixes.values())
 
     @property
     def running_tokens(self) -> int:
         """Return the tokens of prefixes with running calls."""
-        return sum(one.tokens for one in self._prefixes.values() if one.running)
+        return sum(
+            prefix.tokens for prefix in self._prefixes.values() if prefix.running
+        )
 
     @property
     def resident_tokens(self) -> int:
         """Return the tokens in engine memory."""
-        return sum(one.tokens for one in self._prefixes.values() if not one.exported)
+        return sum(
+            prefix.tokens for prefix in self._prefixes.values() if not prefix.exported
+        )
--- a/sequoiaarch/routing/targets.py
+++ b/sequoiaarch/routing/targets.py
@@ -12,7 +12,7 @@
 
 log = logbook.Logger("targets")
 
-# Time after the return of the store within which live targets register again.
+# Time after an outage of the store within which live targets register again.
 LAPSE_GRACE_SECONDS = 2.2
 
 
--- a/sequoiaarch/tests/policies/overload_tests.py
+++ b/sequoiaarch/tests/policies/overload_tests.py
@@ -65,9 +65,11 @@
             continue
         wait = max(0.0, min(free) - now)
         if not turns_done:
-            left = started + time_limit - now
+            remaining = started + time_limit - now
             retry_after = policy.refuse(
-                Start(wait=wait, left=max(left, 0.01), latency_target=LATENCY_TARGET)
+                Start(
+                    wait=wait, left=max(remaining, 0.01), latency_target=LATENCY_TARGET
+                )
             )
             if retry_after is not None:
                 if attempts < MAX_ATTEMPTS:
@@ -121,7 +123,7 @@
     knows of, as after a restart of all processes.
     """
     rng = random.Random(seed)
-    engines = {InstanceId(f"i-{one}"): _Engine() for one in range(ENGINES)}
+    engines = {InstanceId(f"i-{index}"): _Engine() for index in range(ENGINES)}
     backlog = next(iter(engines.values()))
     for _ in range(6 * SLOTS):
         backlog.serve(0.0)
@@ -132,12 +134,12 @@
     while now < 2.0:
         now += rng.expovariate(100.0)
         process = rng.randrange(PROCESSES)
-        running[process] = [one for one in running[process] if one[0] > now]
+        running[process] = [call for call in running[process] if call[0] > now]
         candidates = [
             EngineCandidate(
                 instance=name,
                 slots=SLOTS,
-                running=sum(one[1] == name for one in running[process]),
+                running=sum(call[1] == name for call in running[process]),
                 near=False,
                 wait=last_waits[process].get(name, 0.0) if uses_waits else 0.0,
             )
@@ -196,34 +198,34 @@
         shape = PromptShape(parts=(("system", 512), ("s", 3000)), owner="program")
         candidates = [
             EngineCandidate(
-                instance=InstanceId(f"i-{one}"), slots=6, running=0, near=one < 6
+                instance=InstanceId(f"i-{number}"), slots=6, running=0, near=number < 6
             )
-            for one in range(18)
+            for number in range(18)
         ]
 
-        def turns(owner: str) -> set[InstanceId]:
-            asked = PromptShape(parts=shape.parts, owner=owner)
+        def homes(owner: str) -> set[InstanceId]:
+            owned_shape = PromptShape(parts=shape.parts, owner=owner)
             chosen = set()
             for seed in range(PROCESSES):
                 policy = PrefixPlacement(
                     prefix_index=PrefixIndex(), rng=random.Random(seed)
                 )
-                chosen.add(policy.choose(asked, candidates)[0])
+                chosen.add(policy.choose(owned_shape, candidates)[0])
             return chosen
 
-        self.assertEqual(len(turns("program")), 1)
-        self.assertGreater(len(turns("")), 2)
+        self.assertEqual(len(homes("program")), 1)
+        self.assertGreater(len(homes("")), 2)
 
     def test_homes_are_balanced(self) -> None:
         """Distribute programs evenly over the engines."""
         policy = PrefixPlacement(prefix_index=PrefixIndex(), rng=random.Random(1))
         candidates = [
             EngineCandidate(
-                instance=InstanceId(f"i-{one}"), slots=6, running=0, near=True
+                instance=InstanceId(f"i-{index}"), slots=6, running=0, near=True
             )
-            for one in range(6)
+            for index in range(6)
         ]
-        counts = dict.fromkeys((one.instance for one in candidates), 0)
+        counts = dict.fromkeys((candidate.instance for candidate in candidates), 0)
         for number in range(600):
             shape = PromptShape(parts=(("s", 1000),), owner=f"program-{number}")
             counts[policy.choose(shape, candidates)[0]] += 1
@@ -238,9 +240,13 @@
         def chosen(waits: dict[InstanceId, float]) -> InstanceId:
             candidates = [
                 EngineCandidate(
-                    instance=one, slots=6, running=0, near=True, wait=waits.get(one, 0)
+                    instance=name,
+                    slots=6,
+                    running=0,
+                    near=True,
+                    wait=waits.get(name, 0),
                 )
-                for one in names
+                for name in names
             ]
             return policy.choose(shape, candidates)[0]
 
@@ -294,13 +300,13 @@
         policy = NearestFree(rng=random.Random(1))
         candidates = [
             EngineCandidate(
-                instance=InstanceId(f"i-{one}"),
+                instance=InstanceId(f"i-{index}"),
                 slots=6,
                 running=0,
                 near=True,
                 failing=0.9,
             )
-            for one in range(3)
+            for index in range(3)
         ]
         chosen = {
             policy.choose(PromptShape(parts=()), candidates)[0] for _ in range(50)
@@ -323,8 +329,8 @@
     def test_rank_is_ignored(self) -> None:
         """Give programs in time one priority, unlike the urgency by rank."""
         ranks = [ProgramProgress(rank=rank, left=1.0) for rank in (0, 1)]
-        self.assertEqual(len({DeadlineUrgency().of(one) for one in ranks}), 1)
-        self.assertEqual(len({RankUrgency().of(one) for one in ranks}), 2)
+        self.assertEqual(len({DeadlineUrgency().of(progress) for progress in ranks}), 1)
+        self.assertEqual(len({RankUrgency().of(progress) for progress in ranks}), 2)
 
 
 class StartPolicyTests(unittest.TestCase):
--- a/sequoiaarch/tests/policies/policy_tests.py
+++ b/sequoiaarch/tests/policies/policy_tests.py
@@ -143,8 +143,8 @@
         ]
         for changed, admitted in cases:
             with self.subTest(changed=changed):
-                found = admission.admits(new, self.occupancy(**changed))
-                self.assertEqual(found, admitted)
+                result = admission.admits(new, self.occupancy(**changed))
+                self.assertEqual(result, admitted)
 
     def test_started_programs(self) -> None:
         """Admit a running program unless it does not fit beside the others."""
@@ -182,7 +182,7 @@
             self.prefix("l-gone", 10.0, exported=True),
         ]
         victims = retention.victims(prefixes, 50, 10.1)
-        self.assertEqual([one.program for one in victims], ["long"])
+        self.assertEqual([victim.program for victim in victims], ["long"])
         both = retention.victims(prefixes, 150, 10.1)
-        self.assertEqual([one.program for one in both], ["long", "short"])
+        self.assertEqual([victim.program for victim in both], ["long", "short"])
         self.assertEqual(retention.victims(prefixes, 0, 10.1), [])
--- a/sequoiaarch/tests/routing/targets_tests.py
+++ b/sequoiaarch/tests/routing/targets_tests.py
@@ -36,7 +36,7 @@
 
     def usable(self) -> list[str]:
         """Return the names of targets that may take work."""
-        return sorted(one.instance for one in self.targets.of(SERVICE))
+        return sorted(entry.instance for entry in self.targets.of(SERVICE))
 
     def test_removed_registration(self) -> None:
         """Use no target whose registration was removed."""
