--- a/sequoiaarch/tests/workspaces/directory_tests.py
+++ b/sequoiaarch/tests/workspaces/directory_tests.py
@@ -32,9 +32,9 @@
 
     def test_keys_of_two_workspaces(self) -> None:
         """Find the workspace of each key."""
-        found = [identify(DIRECTORY, key, public=False) for key in ("k1", "k2", "k3")]
-        self.assertEqual([one.workspace for one in found], [ONE, ONE, TWO])
-        self.assertEqual([one.priority for one in found], [0, 0, None])
+        callers = [identify(DIRECTORY, key, public=False) for key in ("k1", "k2", "k3")]
+        self.assertEqual([caller.workspace for caller in callers], [ONE, ONE, TWO])
+        self.assertEqual([caller.priority for caller in callers], [0, 0, None])
 
     def test_unknown_key(self) -> None:
         """Refuse an unknown or missing key without showing it."""
@@ -48,8 +48,8 @@
     def test_public_route(self) -> None:
         """Admit callers without a known key to a public route anonymously."""
         for key in ("unknown", None):
-            found = identify(DIRECTORY, key, public=True)
-            self.assertEqual(found.workspace, ANONYMOUS)
+            caller = identify(DIRECTORY, key, public=True)
+            self.assertEqual(caller.workspace, ANONYMOUS)
         self.assertEqual(identify(DIRECTORY, "k3", public=True).workspace, TWO)
 
     def test_no_workspaces_configured(self) -> None:
@@ -75,7 +75,7 @@
     def test_scoped_ids_differ(self) -> None:
         """Scope equal ids of different workspaces differently."""
         name = ProgramId("two:p")
-        ids = [scoped(one, name) for one in (ONE, TWO, ANONYMOUS, None)]
+        ids = [scoped(workspace, name) for workspace in (ONE, TWO, ANONYMOUS, None)]
         ids.append(scoped(TWO, ProgramId("p")))
         self.assertEqual(len(set(ids[:3])), 3)
         self.assertEqual(scoped(None, name), name)
--- a/sequoiaarch/tests/workspaces/simulation.py
+++ b/sequoiaarch/tests/workspaces/simulation.py
@@ -89,8 +89,8 @@
             self.host_lease.hosts_changed()
         self.read_at = self.fleet.now
         self.host_lease.renew(self.fleet.now)
-        for host, found in self.fleet.changes[self.version :]:
-            self._change(host, found, ordered=not first)
+        for host, registration in self.fleet.changes[self.version :]:
+            self._change(host, registration, ordered=not first)
         if first:
             self._update_lease(ordered=False)
         self.version = len(self.fleet.changes)
@@ -98,14 +98,14 @@
             self.host_lease.activate()
         self.limiter.drop_unowned()
 
-    def take(self, asked: float, begins: bool) -> bool:
+    def take(self, requested_at: float, begins: bool) -> bool:
         """Queue a request if it gets a token; return whether it did."""
-        held = self.token_cache.take(WORKSPACE)
-        if held is None:
-            held = self._ask(asked, begins)
-        if held is None:
+        expiry = self.token_cache.take(WORKSPACE)
+        if expiry is None:
+            expiry = self._ask(requested_at, begins)
+        if expiry is None:
             return False
-        self.fleet.sending.append((held, self))
+        self.fleet.sending.append((expiry, self))
         return True
 
     def answer(self, share: int, count: int, begins: bool) -> TokenGrant:
@@ -117,29 +117,31 @@
     def _fill(self) -> None:
         """Clear new windows, as if no previous owner had granted tokens."""
         for share in range(SHARES):
-            found = self.limiter._share(WORKSPACE, share)
-            if found is not None and share not in self.filled:
+            share_state = self.limiter._share(WORKSPACE, share)
+            if share_state is not None and share not in self.filled:
                 self.filled.add(share)
-                found.window._entries.clear()
+                share_state.window._entries.clear()
 
-    def _ask(self, asked: float, begins: bool) -> float | None:
+    def _ask(self, requested_at: float, begins: bool) -> float | None:
         for share, host in enumerate(self.owners.of(WORKSPACE)):
             owner = self.fleet.processes.get(host)
             if owner is None or not owner.runs:
                 continue
             count = self.token_cache.wanted(WORKSPACE)
-            found = owner.answer(share, count, begins)
-            if found.count:
-                return self.token_cache.put(WORKSPACE, found.count - 1, asked=asked)
+            grant = owner.answer(share, count, begins)
+            if grant.count:
+                return self.token_cache.put(
+                    WORKSPACE, grant.count - 1, asked=requested_at
+                )
         return None
 
     def _change(
-        self, host: HostName, found: Registration | None, *, ordered: bool
+        self, host: HostName, registration: Registration | None, *, ordered: bool
     ) -> None:
-        if found is None:
+        if registration is None:
             self.view.pop(host, None)
         else:
-            self.view[host] = found
+            self.view[host] = registration
         if host == self.host and ordered:
             self._update_lease(ordered=True)
 
@@ -147,25 +149,25 @@
         process = self.fleet.processes.get(host)
         if process is None or not process.runs:
             return False
-        found = process.view.get(self.host)
-        return found is not None and found.process == self.process_id
+        registration = process.view.get(self.host)
+        return registration is not None and registration.process == self.process_id
 
     def _update_lease(self, *, ordered: bool) -> None:
         own = self.view.get(self.host)
         if own is None:
             self.host_lease.unregistered()
         else:
-            mine = own.process == self.process_id
-            at_once = self.fleet.missing.lease_starts_at_once and mine
+            is_own = own.process == self.process_id
+            at_once = self.fleet.missing.lease_starts_at_once and is_own
             if at_once:
                 self.host_lease.registered(own=False, ordered=True)
-            self.host_lease.registered(own=mine, ordered=ordered or at_once)
+            self.host_lease.registered(own=is_own, ordered=ordered or at_once)
 
     def _centres(self) -> dict[DataCentre, list[HostName]]:
-        found = defaultdict(list)
-        for host, one in self.view.items():
-            found[one.centre].append(host)
-        return found
+        hosts = defaultdict(list)
+        for host, registration in self.view.items():
+            hosts[registration.centre].append(host)
+        return hosts
 
     def _owns(self, workspace: Workspace, share: int) -> bool:
         owners = self.owners.of(workspace)
@@ -213,7 +215,7 @@
     def kill(self, host: HostName) -> None:
         """Kill a process; its registration stays."""
         process = self.processes.pop(host, None)
-        self.sending = [one for one in self.sending if one[1] is not process]
+        self.sending = [entry for entry in self.sending if entry[1] is not process]
 
     def stop(self, host: HostName) -> None:
         """Stop a process cleanly if it can reach the store."""
--- a/sequoiaarch/tests/workspaces/tokens_tests.py
+++ b/sequoiaarch/tests/workspaces/tokens_tests.py
@@ -80,7 +80,7 @@
         self.assertEqual(quotas.returned, 1)
 
     async def test_workspace_without_a_limit(self) -> None:
-        """Ask for nothing where there is no limit."""
+        """Take no token for a workspace without a limit."""
         request_token = RequestToken(quotas=_FakeQuotas(0), caller=UNSCOPED_CALLER)
         self.assertIsNone(await request_token.ensure())
 
@@ -110,9 +110,9 @@
 
     def test_late_answer(self) -> None:
         """Count the lifetime of tokens from their request, not the answer."""
-        asked = self.time
+        requested_at = self.time
         self.time += TOKEN_LIFE + 0.1
-        self.token_cache.put(WORKSPACE, 3, asked=asked)
+        self.token_cache.put(WORKSPACE, 3, asked=requested_at)
         self.assertIsNone(self.token_cache.take(WORKSPACE))
 
     def test_tokens_share_earliest_expiry(self) -> None:
--- a/sequoiaarch/tests/workspaces/windows_tests.py
+++ b/sequoiaarch/tests/workspaces/windows_tests.py
@@ -32,8 +32,8 @@
     restarts: dict[HostName, float] = {}
     spare = list(SPARE)
     while fleet.now < SETTLING_SECONDS + SECONDS:
-        for host, at in list(restarts.items()):
-            if at <= fleet.now:
+        for host, restart_at in list(restarts.items()):
+            if restart_at <= fleet.now:
                 del restarts[host]
                 fleet.start(host)
         if fleet.now > SETTLING_SECONDS and rng.random() < 0.04:
@@ -77,7 +77,7 @@
 def send_requests(fleet: Fleet, rate: float, rng: random.Random) -> int:
     """Send the requests of one step to running hosts; return how many were refused."""
     count = int(rate * STEP) + (rng.random() < rate * STEP % 1)
-    running = [one for one in fleet.processes.values() if one.runs]
+    running = [process for process in fleet.processes.values() if process.runs]
     refused = 0
     for _ in range(count if running else 0):
         process = rng.choice(running)
@@ -192,15 +192,15 @@
             fleet.start(host)
         while fleet.now < SETTLING_SECONDS:
             fleet.step()
-        refused = asked = 0
+        refused = sent = 0
         running = [fleet.processes[host] for host in HOSTS[:hosts]]
         while fleet.now < SETTLING_SECONDS + SECONDS:
             fleet.step()
-            due = (fleet.now - SETTLING_SECONDS) * limit.rate * load
-            while asked < due:
-                asked += 1
+            expected = (fleet.now - SETTLING_SECONDS) * limit.rate * load
+            while sent < expected:
+                sent += 1
                 refused += not fleet.rng.choice(running).take(fleet.now, begins=True)
-        return refused / max(1, asked)
+        return refused / max(1, sent)
 
     def test_load_below_limit(self) -> None:
         """Refuse nothing at nine tenths of a limit, through one host or all."""
--- a/sequoiaarch/workspaces/host_lease.py
+++ b/sequoiaarch/workspaces/host_lease.py
@@ -16,8 +16,8 @@
     old. A newly registered host waits for a lease, or until all other hosts confirm
     that they see its registration: the previous owner has then seen it too, or its
     lease has ended. A process that stops releases its lease before it removes its
-    registration, so that its successor need not wait. Neither need a process that
-    replaces a lost one of the same host whose registration still exists.
+    registration, so that its successor need not wait. A process that replaces a lost
+    one of the same host need not wait either while that registration still exists.
 
     `term` increases whenever another process may have acted in between.
     """
@@ -30,19 +30,19 @@
     ) -> None:
         self._lease = lease
         self._clock = clock
-        self._begun = clock()
+        self._started_at = clock()
         self._active_from: float | None = None
         self._predecessor = False
         self._released = False
-        self._last_view = float("-inf")
+        self._last_read = float("-inf")
         self._changed = float("-inf")
         self.term = 0
 
     @property
     def since(self) -> float:
         """Return the time since which this process owns its current shares."""
-        begun = self._clock() if self._active_from is None else self._active_from
-        return max(begun, self._changed)
+        start = self._clock() if self._active_from is None else self._active_from
+        return max(start, self._changed)
 
     @property
     def active(self) -> bool:
@@ -50,7 +50,7 @@
         now = self._clock()
         if self._released or self._active_from is None or now < self._active_from:
             return False
-        return now - self._last_view <= self._lease
+        return now - self._last_read <= self._lease
 
     def registered(self, *, own: bool, ordered: bool) -> None:
         """Handle a registration of this host, by this process or an earlier one.
@@ -67,7 +67,7 @@
         # The previous process of this host had ended when this one started.
         inherits = self._predecessor and ordered
         self._active_from = (
-            self._begun if inherits else now + self._lease * CLOCK_MARGIN
+            self._started_at if inherits else now + self._lease * CLOCK_MARGIN
         )
 
     def activate(self) -> None:
@@ -87,10 +87,10 @@
 
     def renew(self, since: float) -> None:
         """Renew the lease by a read of the registrations that began at `since`."""
-        if since - self._last_view > self._lease:
+        if since - self._last_read > self._lease:
             self.term += 1
             self._changed = self._clock()
-        self._last_view = since
+        self._last_read = since
 
     def hosts_changed(self) -> None:
         """Note that the shares of this host may have changed."""
--- a/sequoiaarch/workspaces/limiter.py
+++ b/sequoiaarch/workspaces/limiter.py
@@ -73,15 +73,15 @@
         self, workspace: Workspace, share: int, count: int, *, begins: bool
     ) -> TokenGrant:
         """Grant up to `count` tokens, or return when to retry."""
-        found = self._share(workspace, share)
-        if found is None:
+        share_state = self._share(workspace, share)
+        if share_state is None:
             return NOT_OWNED
         now = self._clock()
-        granted = found.window.grant(count, now, begins=begins)
+        granted = share_state.window.grant(count, now, begins=begins)
         if granted:
             return TokenGrant(count=granted)
-        wait = found.window.wait(now, begins=begins)
-        return TokenGrant(wait=wait + self._spread(found, now))
+        wait = share_state.window.wait(now, begins=begins)
+        return TokenGrant(wait=wait + self._spread(share_state, now))
 
     def drop_unowned(self) -> None:
         """Drop the shares that another process owns now."""
@@ -92,7 +92,7 @@
     def free(self) -> dict[tuple[Workspace, int], float]:
         """Return the available tokens of each share."""
         now = self._clock()
-        return {key: one.window.free(now) for key, one in self._shares.items()}
+        return {key: share.window.free(now) for key, share in self._shares.items()}
 
     def _share(self, workspace: Workspace, share: int) -> _Share | None:
         limit = self._limits(workspace)
@@ -101,13 +101,13 @@
             return None
         bounds = share_bounds(limit, self._bounds)
         term = self._term()
-        found = self._shares.get((workspace, share))
-        if found is None or found.term != term:
+        share_state = self._shares.get((workspace, share))
+        if share_state is None or share_state.term != term:
             window = ShareWindow(bounds=bounds, since=self._since())
-            found = _Share(window=window, term=term)
-            self._shares[workspace, share] = found
-        found.window.change(bounds)
-        return found
+            share_state = _Share(window=window, term=term)
+            self._shares[workspace, share] = share_state
+        share_state.window.change(bounds)
+        return share_state
 
     def _spread(self, share: _Share, now: float) -> float:
         """Return a random delay over the time needed to serve recent refusals.
--- a/sequoiaarch/workspaces/quotas.py
+++ b/sequoiaarch/workspaces/quotas.py
@@ -22,7 +22,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the seconds until a retry; `kept` is False if no owner could be asked."""
+    """Refuse a token for `wait` seconds; `kept` is False if no owner could be asked."""
 
     wait: float
     kept: bool = True
@@ -56,16 +56,16 @@
         """Take a token from any share without waiting."""
         workspace = caller.workspace
         assert workspace is not None
-        asked = self._token_cache.now()
+        requested_at = self._token_cache.now()
         until = self._token_cache.take(workspace)
         if until is not None:
             return until
         waits = []
         for share in range(SHARES):
-            found = self._limiter.grant(workspace, share, 1, begins=begins)
-            if found.count:
-                return self._token_cache.put(workspace, 0, asked=asked)
-            waits.append(found.wait or 0.0)
+            grant = self._limiter.grant(workspace, share, 1, begins=begins)
+            if grant.count:
+                return self._token_cache.put(workspace, 0, asked=requested_at)
+            waits.append(grant.wait or 0.0)
         return Refusal(wait=min(waits))
 
     def release(self, caller: Caller, until: float) -> None:
@@ -126,10 +126,10 @@
         if self.held:
             return None
         self._until = None
-        found = await self._quotas.take(self._caller, begins=self.begins)
-        if isinstance(found, Refusal):
-            return found
-        self._until = found
+        result = await self._quotas.take(self._caller, begins=self.begins)
+        if isinstance(result, Refusal):
+            return result
+        self._until = result
         return None
 
     def spend(self) -> float | None:
@@ -160,7 +160,7 @@
 
 def combined_refusal(answers: list[TokenGrant]) -> Refusal:
     """Combine the answers of all owners into a refusal with the shortest wait."""
-    waits = [one.wait for one in answers if one.wait is not None]
+    waits = [answer.wait for answer in answers if answer.wait is not None]
     if not waits:
         return Refusal(wait=UNKNOWN_RETRY_AFTER, kept=False)
     return Refusal(wait=min(waits))
--- a/sequoiaarch/workspaces/shares.py
+++ b/sequoiaarch/workspaces/shares.py
@@ -33,24 +33,24 @@
         if version != self._cached_version:
             self._cached.clear()
             self._cached_version = version
-        found = self._cached.get(workspace)
-        if found is None:
-            found = self._cached[workspace] = self._assign(workspace)
-        return found
+        owners = self._cached.get(workspace)
+        if owners is None:
+            owners = self._cached[workspace] = self._assign(workspace)
+        return owners
 
     def _assign(self, workspace: Workspace) -> tuple[HostName, ...]:
         hosts = self._hosts()
         centres = sorted(centre for centre in hosts if hosts[centre])
         if not centres:
             return ()
-        first = _score(workspace)
-        found = []
+        offset = _score(workspace)
+        owners = []
         for share in range(SHARES):
-            centre = centres[(first + share) % len(centres)]
+            centre = centres[(offset + share) % len(centres)]
             name = f"{workspace}/{share}"
             owner = max(hosts[centre], key=lambda host: _score(f"{name}/{host}"))
-            found.append(owner)
-        return tuple(found)
+            owners.append(owner)
+        return tuple(owners)
 
 
 def _score(name: str) -> int:
--- a/sequoiaarch/workspaces/sliding_window.py
+++ b/sequoiaarch/workspaces/sliding_window.py
@@ -39,8 +39,8 @@
 
     def allowed(self, limit: RateLimit) -> float:
         """Return the maximum number of requests in a window."""
-        within = limit.rate * self.window + limit.burst
-        return within * (1 + self.overage) + self.slack
+        nominal = limit.rate * self.window + limit.burst
+        return nominal * (1 + self.overage) + self.slack
 
 
 class ShareBounds(msgspec.Struct, frozen=True, kw_only=True):
@@ -87,9 +87,9 @@
     def __init__(self, *, bounds: ShareBounds, since: float) -> None:
         self.bounds = bounds
         # Assume that the previous owner granted as much as possible.
-        before = _Entry(first=since, last=since, count=bounds.at_once)
-        self._entries = deque([before])
-        # Until when no token is available, by whether the request begins a program.
+        previous_grants = _Entry(first=since, last=since, count=bounds.at_once)
+        self._entries = deque([previous_grants])
+        # Time until which no token is available, by whether a request begins a program.
         self._empty_until = {True: since, False: since}
 
     def grant(self, count: int, now: float, *, begins: bool) -> int:
@@ -113,11 +113,11 @@
         """Return the number of tokens available now."""
         while self._entries and self._entries[0].last + self.bounds.span <= now:
             self._entries.popleft()
-        found = self.bounds.at_once
+        available = self.bounds.at_once
         for entry, total in self._totals():
-            grown = self.bounds.rate * (now - entry.last)
-            found = min(found, self.bounds.at_once + grown - total)
-        return found
+            accrued = self.bounds.rate * (now - entry.last)
+            available = min(available, self.bounds.at_once + accrued - total)
+        return available
 
     def wait(self, now: float, *, begins: bool) -> float:
         """Return the seconds until a token is available, after a refused `grant`."""
@@ -134,8 +134,8 @@
         until = now
         for entry, total in self._totals():
             missing = total + needed - self.bounds.at_once
-            grown = entry.last + missing / self.bounds.rate
-            until = max(until, min(grown, entry.last + self.bounds.span))
+            accrued_at = entry.last + missing / self.bounds.rate
+            until = max(until, min(accrued_at, entry.last + self.bounds.span))
         return until - now
 
     def _totals(self) -> Iterator[tuple[_Entry, float]]:
--- a/sequoiaarch/workspaces/token_cache.py
+++ b/sequoiaarch/workspaces/token_cache.py
@@ -21,7 +21,7 @@
     """Hold the tokens of a workspace until they expire, and its recent requests.
 
     No token is available until `refused_until`, and none for requests that begin a
-    program until `refused_starts_until`; `wait` is the delay to tell callers.
+    program until `refused_starts_until`; `wait` is the retry delay.
     """
 
     tokens: int = 0
@@ -42,22 +42,24 @@
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._held: dict[Workspace, _WorkspaceTokens] = {}
+        self._entries: dict[Workspace, _WorkspaceTokens] = {}
 
     def now(self) -> float:
-        """Return the time of the clock."""
+        """Return the time of the clock, in seconds."""
         return self._clock()
 
     def take(self, workspace: Workspace) -> float | None:
-        """Use a held token and return its expiry, or None if there is none."""
-        held = self._entry(workspace)
+        """Use a cached token and return its expiry, or None if there is none."""
+        entry = self._entry(workspace)
         now = self._clock()
-        faded = held.recent_requests * math.exp(-(now - held.updated) / RATE_SECONDS)
-        held.recent_requests, held.updated = faded + 1, now
-        if held.tokens < 1 or now >= held.until:
+        decayed = entry.recent_requests * math.exp(
+            -(now - entry.updated) / RATE_SECONDS
+        )
+        entry.recent_requests, entry.updated = decayed + 1, now
+        if entry.tokens < 1 or now >= entry.until:
             return None
-        held.tokens -= 1
-        return held.until
+        entry.tokens -= 1
+        return entry.until
 
     def wanted(self, workspace: Workspace) -> int:
         """Return the number of tokens to request."""
@@ -80,25 +82,25 @@
         self, workspace: Workspace, wait: float, *, begins: bool
     ) -> None:
         """Remember that no token is available for `wait` seconds."""
-        held = self._entry(workspace)
-        held.wait = wait
-        held.refused_starts_until = self._clock() + min(wait, TOKEN_LIFE)
+        entry = self._entry(workspace)
+        entry.wait = wait
+        entry.refused_starts_until = self._clock() + min(wait, TOKEN_LIFE)
         if not begins:
-            held.refused_until = held.refused_starts_until
+            entry.refused_until = entry.refused_starts_until
 
     def refused(self, workspace: Workspace, *, begins: bool) -> float | None:
         """Return the seconds until a retry if a recent refusal still holds."""
-        held = self._entry(workspace)
-        until = held.refused_starts_until if begins else held.refused_until
-        return held.wait if self._clock() < until else None
+        entry = self._entry(workspace)
+        until = entry.refused_starts_until if begins else entry.refused_until
+        return entry.wait if self._clock() < until else None
 
     def _add(self, workspace: Workspace, tokens: int, until: float) -> None:
-        held = self._entry(workspace)
-        if held.until <= self._clock():
-            held.tokens = 0
-        # All held tokens share the earliest expiry.
-        held.until = min(held.until, until) if held.tokens else until
-        held.tokens += tokens
+        entry = self._entry(workspace)
+        if entry.until <= self._clock():
+            entry.tokens = 0
+        # All cached tokens share the earliest expiry.
+        entry.until = min(entry.until, until) if entry.tokens else until
+        entry.tokens += tokens
 
     def _entry(self, workspace: Workspace) -> _WorkspaceTokens:
-        return self._held.setdefault(workspace, _WorkspaceTokens())
+        return self._entries.setdefault(workspace, _WorkspaceTokens())
