--- a/sequoiaarch/ingress/dispatcher.py
+++ b/sequoiaarch/ingress/dispatcher.py
@@ -101,17 +101,17 @@
     ) -> None:
         """Start tracking when the first event or response of a request is due."""
         if not route.sticky:
-            within = attempt_timeout(route.latency_target)
-            self.load.expect_within(entry.incarnation, request, within)
+            timeout = attempt_timeout(route.latency_target)
+            self.load.expect_within(entry.incarnation, request, timeout)
             return
         shape = _prompt_shape(info)
         prefill_seconds = self._prefix_index.prefill_seconds(entry.incarnation, shape)
         self._prefix_index.record(entry.incarnation, shape)
         self.load.track_first_event(entry.incarnation, request, prefill_seconds)
-        within = prefill_seconds + first_event_due(
+        timeout = prefill_seconds + first_event_due(
             route.latency_target, self.load.longest_wait
         )
-        self.load.expect_within(entry.incarnation, request, within)
+        self.load.expect_within(entry.incarnation, request, timeout)
 
     def forget(self, instance: InstanceId) -> None:
         """Discard all state of a target that has left."""
--- a/sequoiaarch/ingress/exchange.py
+++ b/sequoiaarch/ingress/exchange.py
@@ -282,9 +282,9 @@
     async def _commit(self, output: _TurnOutput) -> None:
         started_at = asyncio.get_running_loop().time()
         await output.commit(self._message.body)
-        taken = asyncio.get_running_loop().time() - started_at
-        self._metrics.observe_commit(taken)
-        self.steps.append(f"committed in {taken * 1000:.1f} ms")
+        seconds = asyncio.get_running_loop().time() - started_at
+        self._metrics.observe_commit(seconds)
+        self.steps.append(f"committed in {seconds * 1000:.1f} ms")
 
     async def _start_response(self, response: TargetResponse) -> None:
         head = response.head
@@ -320,7 +320,7 @@
             self._pending_cover = asyncio.create_task(self.turn.cover(tokens))
         return True
 
-    async def commit(self, given: bytes) -> None:
+    async def commit(self, request_body: bytes) -> None:
         """Append the turn to the history; return once it is durable."""
         # A reservation that is still pending would find the turn closed and report
         # its delegate as lost. It isn't needed once the stream has ended.
@@ -328,7 +328,7 @@
         if pending is not None:
             pending.cancel()
             await asyncio.wait([pending])
-        await self.turn.commit(given, b"".join(self.produced))
+        await self.turn.commit(request_body, b"".join(self.produced))
 
     def close(self) -> None:
         """Release the unused tokens of the turn."""
--- a/sequoiaarch/ingress/load.py
+++ b/sequoiaarch/ingress/load.py
@@ -24,7 +24,7 @@
 RECENT_WINDOW = 0.6
 MIN_RECENT_WAITS = 4
 MAX_RECENT_WAITS = 32
-# Seconds.
+# Half-life of the longest wait, in seconds.
 LONGEST_WAIT_HALF_LIFE = 3.0
 # Seconds; well below the shortest pause between events that routes allow.
 SILENCE_CHECK_INTERVAL = 0.05
@@ -128,9 +128,14 @@
         for instance, load in list(self._loads.items()):
             if lag > SILENCE_CHECK_INTERVAL:
                 load.deadlines = {
-                    request: due + lag for request, due in load.deadlines.items()
+                    request: deadline + lag
+                    for request, deadline in load.deadlines.items()
                 }
-            overdue = [request for request, due in load.deadlines.items() if due < now]
+            overdue = [
+                request
+                for request, deadline in load.deadlines.items()
+                if deadline < now
+            ]
             for request in overdue:
                 del load.deadlines[request]
             if overdue:
--- a/sequoiaarch/observe/events.py
+++ b/sequoiaarch/observe/events.py
@@ -18,7 +18,7 @@
 # Bytes buffered for a slow reader before lines are dropped.
 BUFFER_BYTES = 512 * 1024
 FLUSH_INTERVAL = 0.05
-# The default capacity of a pipe on Linux.
+# Bytes; the default capacity of a pipe on Linux.
 MAX_WRITE_BYTES = 64 * 1024
 
 Value = str | int | float | bool | None | list[str]
--- a/sequoiaarch/observe/failures.py
+++ b/sequoiaarch/observe/failures.py
@@ -48,7 +48,7 @@
 
     @property
     def owner(self) -> tuple[str | None, str]:
-        """Return the workspace and the program, whose id is unique only in there."""
+        """Return the workspace and the program, whose id is unique only in it."""
         return self.workspace, self.program
 
 
--- a/sequoiaarch/observe/traces.py
+++ b/sequoiaarch/observe/traces.py
@@ -68,10 +68,10 @@
 
     def spans(self, trace_id: str) -> list[SpanData]:
         """Return the ended spans of a trace in this process."""
-        found = [span for span in list(self._buffer.spans) if span.context]
+        ended_spans = [span for span in list(self._buffer.spans) if span.context]
         return [
             _span_data(span)
-            for span in found
+            for span in ended_spans
             if format_trace_id(span.context.trace_id) == trace_id
         ]
 
--- a/sequoiaarch/platform/headers.py
+++ b/sequoiaarch/platform/headers.py
@@ -75,8 +75,8 @@
             for name, value in end_to_end(message.headers)
             if name.lower() not in STRIPPED and name.lower() != DEADLINE
         ]
-        left = max(1, int(dispatch.deadline * 1000))
-        headers.append((b"X-Deadline-Ms", str(left).encode()))
+        remaining = max(1, int(dispatch.deadline * 1000))
+        headers.append((b"X-Deadline-Ms", str(remaining).encode()))
         headers.append((b"X-Expect-Instance", dispatch.instance.encode()))
         if dispatch.urgency is not None:
             headers.append((b"X-Request-Priority", str(dispatch.urgency).encode()))
--- a/sequoiaarch/tests/ingress/load_tests.py
+++ b/sequoiaarch/tests/ingress/load_tests.py
@@ -75,8 +75,8 @@
 
         Ejecting full engines in a burst would only fill the others.
         """
-        due = first_event_due(0.25, self.tracker.longest_wait)
-        self.assertEqual(due, 1.0)
+        timeout = first_event_due(0.25, self.tracker.longest_wait)
+        self.assertEqual(timeout, 1.0)
         self.tracker.track_first_event(TARGET, "request", 0.0)
         self.now += 1.0
         self.tracker.first_event_received(TARGET, "request")
@@ -125,7 +125,7 @@
             self.answer(number, 0.2)
             self.now += 0.1
         shortest = min(
-            self.tracker.expected_wait(InstanceId(f"i-{n}")) for n in range(20)
+            self.tracker.expected_wait(InstanceId(f"i-{index}")) for index in range(20)
         )
         self.assertLess(shortest, 0.05)
         self.assertGreater(self.tracker.lower_quartile_wait, 0.15)
--- a/sequoiaarch/tests/observe/failures_tests.py
+++ b/sequoiaarch/tests/observe/failures_tests.py
@@ -27,7 +27,7 @@
     workspace: str | None = None,
 ) -> str:
     """Return the log line of a request."""
-    found = {
+    fields = {
         "time": time,
         "event": "request",
         "id": f"{program}-{time}",
@@ -39,7 +39,7 @@
         "route": "calls",
         "steps": steps,
     }
-    return json.dumps(found)
+    return json.dumps(fields)
 
 
 LINES = [
@@ -65,8 +65,8 @@
             line(1.2, "p", "overloaded", workspace="two"),
             line(1.3, "p", "overloaded"),
         ]
-        found = group_failures(read_requests(lines), Grouping.WORKSPACE)
-        counts = {row.group: (row.requests, row.last) for row in found}
+        rows = group_failures(read_requests(lines), Grouping.WORKSPACE)
+        counts = {row.group: (row.requests, row.last) for row in rows}
         expected = {"one": (1, 0), "two": (1, 1), "no workspace": (1, 1)}
         self.assertEqual(counts, expected)
 
@@ -111,8 +111,8 @@
             table = CliRunner().invoke(cli, ["failures", str(path)])
             self.assertEqual(table.exit_code, 0, table.output)
             self.assertIn("5 requests, 3 failed", table.output)
-            found = CliRunner().invoke(cli, ["failures", "--json", str(path)])
-            self.assertEqual(len(json.loads(found.output)), 2)
+            result = CliRunner().invoke(cli, ["failures", "--json", str(path)])
+            self.assertEqual(len(json.loads(result.output)), 2)
             by = ["failures", str(path), "--by", "gateway"]
             groups = CliRunner().invoke(cli, by)
             self.assertIn("host-1", groups.output)
