--- a/sequoiaarch/ingress/attempts.py
+++ b/sequoiaarch/ingress/attempts.py
@@ -100,7 +100,7 @@
             response.connection.abort()
 
     def may_repeat(self, error: ExchangeError) -> bool:
-        """Take from the retry budget after a break; return whether to retry."""
+        """Take a retry from the budget after a fault; return whether to retry."""
         self.steps.append(f"broken:{error.fault.name}")
         sends_left = self._send_count < self._route.max_attempts
         return self._route.repeatable and sends_left and self._dispatcher.retries.take()
--- a/sequoiaarch/workspaces/host_lease.py
+++ b/sequoiaarch/workspaces/host_lease.py
@@ -35,14 +35,14 @@
         self._predecessor = False
         self._released = False
         self._last_read = float("-inf")
-        self._changed = float("-inf")
+        self._shares_changed_at = float("-inf")
         self.term = 0
 
     @property
     def since(self) -> float:
         """Return the time since which this process owns its current shares."""
         start = self._clock() if self._active_from is None else self._active_from
-        return max(start, self._changed)
+        return max(start, self._shares_changed_at)
 
     @property
     def active(self) -> bool:
@@ -89,12 +89,12 @@
         """Renew the lease by a read of the registrations that began at `since`."""
         if since - self._last_read > self._lease:
             self.term += 1
-            self._changed = self._clock()
+            self._shares_changed_at = self._clock()
         self._last_read = since
 
     def hosts_changed(self) -> None:
         """Note that the shares of this host may have changed."""
-        self._changed = self._clock()
+        self._shares_changed_at = self._clock()
 
     def release(self) -> None:
         """End the lease for good, before the registration is removed."""
