--- a/sequoiaarch/engines/http.py
+++ b/sequoiaarch/engines/http.py
@@ -114,8 +114,8 @@
                     emit(payload)
                     sent += 1
                 raise _StreamTruncated("the stream ended early")
-            except _RequestRefused as refusal:
-                return refusal.failure
+            except _RequestRejected as rejection:
+                return rejection.failure
             except (NewConnectionError, ConnectTimeoutError) as error:
                 if sent == 0 and resumes == 0:
                     return _error_failure(ErrorKind.TARGET_FAILED, error, NotRun.YES)
@@ -162,8 +162,8 @@
                 preload_content=False,
             )
         if response.status != 200:
-            raise _RequestRefused(
-                _refusal_failure(response.status, response.read(4096))
+            raise _RequestRejected(
+                _rejection_failure(response.status, response.read(4096))
             )
         finished = False
         try:
@@ -248,7 +248,7 @@
         except HTTPError as error:
             return _error_failure(ErrorKind.TARGET_FAILED, error, NotRun.UNKNOWN)
         if response.status != 200:
-            return _refusal_failure(response.status, response.data)
+            return _rejection_failure(response.status, response.data)
         return response.data
 
     def close(self) -> None:
@@ -307,7 +307,7 @@
         self._pool.clear()
 
 
-class _RequestRefused(Exception):
+class _RequestRejected(Exception):
     """Raised when an engine responds with an error status."""
 
     def __init__(self, failure: Failure) -> None:
@@ -341,7 +341,7 @@
     )
 
 
-def _refusal_failure(status: int, body: bytes) -> Failure:
+def _rejection_failure(status: int, body: bytes) -> Failure:
     text = body.decode("utf-8", "replace")[:200]
     kind = ErrorKind.MALFORMED if status == 400 else ErrorKind.TARGET_FAILED
     return Failure(
--- a/sequoiaarch/http1/server_connection.py
+++ b/sequoiaarch/http1/server_connection.py
@@ -35,7 +35,7 @@
     links: int = 4096
 
 
-class _RequestRefused(Exception):
+class _RequestRejected(Exception):
     """Raised for a request that is rejected with a status before it is handled."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -48,7 +48,7 @@
 
 
 class ResponseWriter:
-    """Writes the response to one request."""
+    """Write the response to one request."""
 
     def __init__(self, *, connection: ServerConnection, http: h11.Connection) -> None:
         self._connection = connection
@@ -63,7 +63,7 @@
         """Send a complete response with its length."""
         length = (b"Content-Length", str(len(body)).encode())
         head = ResponseHead(status=status, reason=reason, headers=[*headers, length])
-        data = self._head(head)
+        data = self._encode_head(head)
         if body:
             data += self._http.send(h11.Data(data=body)) or b""
         data += self._http.send(h11.EndOfMessage()) or b""
@@ -72,7 +72,7 @@
 
     async def start(self, head: ResponseHead) -> None:
         """Send the status and headers of a response whose body follows."""
-        await self._connection.write(self._head(head))
+        await self._connection.write(self._encode_head(head))
 
     async def send_part(self, data: bytes) -> None:
         """Send a part of the body."""
@@ -88,7 +88,7 @@
         """Reset the connection, so that the response is not taken for complete."""
         self._connection.abort()
 
-    def _head(self, head: ResponseHead) -> bytes:
+    def _encode_head(self, head: ResponseHead) -> bytes:
         self.started = True
         self.status = head.status
         headers = list(head.headers)
@@ -162,7 +162,7 @@
 
     def eof_received(self) -> bool:
         """Treat a half-closed connection as closed by the client."""
-        self._client_left()
+        self._handle_client_gone()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -170,7 +170,7 @@
         self._transport = None
         self._server.connections.discard(self)
         self._writable.set()
-        self._client_left()
+        self._handle_client_gone()
 
     def pause_writing(self) -> None:
         """Block writers while the write buffer is full."""
@@ -199,7 +199,7 @@
         if not self.busy and self._transport is not None:
             self._transport.close()
 
-    def _client_left(self) -> None:
+    def _handle_client_gone(self) -> None:
         self._client_gone = True
         self._changed.set()
         if self._handling is not None:
@@ -209,8 +209,8 @@
         try:
             while await self._serve_request():
                 self._http.start_next_cycle()
-        except _RequestRefused as error:
-            await self._refuse(error)
+        except _RequestRejected as error:
+            await self._reject(error)
         except (ClientGone, h11.LocalProtocolError) as error:
             log.debug("connection closed: {}", type(error).__name__)
         except Exception:
@@ -243,21 +243,21 @@
 
     async def _read_request(self) -> RequestMessage | None:
         limits = self._server.limits
-        first = await self._wait_for_request(limits.idle_timeout)
-        if not first:
+        arrived = await self._wait_for_request(limits.idle_timeout)
+        if not arrived:
             return None
         self._request_open = True
         try:
             async with asyncio.timeout(limits.header_timeout):
                 head = await self._next_event()
         except TimeoutError:
-            raise _RequestRefused(
+            raise _RequestRejected(
                 408, "request headers were not received in time"
             ) from None
         if not isinstance(head, h11.Request):
             return None
         _check_framing(head)
-        body = await self._body(limits)
+        body = await self._read_body(limits)
         return RequestMessage(
             method=bytes(head.method),
             target=bytes(head.target),
@@ -277,7 +277,7 @@
             return False
         return not self._client_gone
 
-    async def _body(self, limits: ServerLimits) -> bytes:
+    async def _read_body(self, limits: ServerLimits) -> bytes:
         if self._http.they_are_waiting_for_100_continue:
             interim = h11.InformationalResponse(status_code=100, headers=[])
             await self.write(self._http.send(interim) or b"")
@@ -287,7 +287,7 @@
                 async with asyncio.timeout(limits.idle_timeout):
                     event = await self._next_event()
             except TimeoutError:
-                raise _RequestRefused(
+                raise _RequestRejected(
                     408, "request body was not received in time"
                 ) from None
             if isinstance(event, h11.EndOfMessage):
@@ -297,11 +297,11 @@
             parts += event.data
             self._count_body(len(event.data))
             if len(parts) > limits.body_bytes:
-                raise _RequestRefused(413, "request body is too large")
+                raise _RequestRejected(413, "request body is too large")
             # A process above its memory limit is killed with all its requests;
             # rejecting one request costs a single retry.
             if self._server.held_bytes > limits.held_bytes:
-                raise _RequestRefused(
+                raise _RequestRejected(
                     503, "request bodies exceed the memory limit of the server"
                 )
 
@@ -320,7 +320,7 @@
             except h11.RemoteProtocolError as error:
                 # The text after the colon quotes the request, maybe an API key.
                 reason = str(error).partition(":")[0]
-                raise _RequestRefused(error.error_status_hint, reason) from None
+                raise _RequestRejected(error.error_status_hint, reason) from None
             if event is h11.NEED_DATA:
                 await self._feed_parser()
                 continue
@@ -340,7 +340,7 @@
         if self._transport is not None:
             self._transport.resume_reading()
 
-    async def _refuse(self, error: _RequestRefused) -> None:
+    async def _reject(self, error: _RequestRejected) -> None:
         log.info("request rejected with status {}: {}", error.status, error)
         if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -381,4 +381,4 @@
     """Reject a request with ambiguous framing (request smuggling)."""
     names = [name for name, _ in head.headers]
     if b"transfer-encoding" in names and b"content-length" in names:
-        raise _RequestRefused(400, "both Content-Length and Transfer-Encoding")
+        raise _RequestRejected(400, "both Content-Length and Transfer-Encoding")
--- a/sequoiaarch/storage/hedged.py
+++ b/sequoiaarch/storage/hedged.py
@@ -19,7 +19,7 @@
 INITIAL_LATENCY = 0.02
 SMOOTHING = 0.1
 MAX_CALLS = 4
-# Two calls have been late after one hedge delay and another of twice its length.
+# A peer is asked once two calls are late: after the hedge delay, then twice as long.
 RELAY_DELAY_FACTOR = 3.0
 
 
--- a/sequoiaarch/storage/http.py
+++ b/sequoiaarch/storage/http.py
@@ -15,7 +15,7 @@
 
 CONNECT_TIMEOUT = 1.0
 APPEND_TIMEOUT = 5.0
-READ_MARGIN = 5.0
+REPLY_TIMEOUT = 5.0
 T = TypeVar("T")
 POOL_SIZE = 32
 
@@ -98,7 +98,7 @@
     ) -> Page | Failure:
         """Read from an offset; wait up to `wait` seconds for a record."""
         path = f"/streams/{stream}/records?from={start}&limit={limit}&wait={wait}"
-        timeout = wait + READ_MARGIN
+        timeout = wait + REPLY_TIMEOUT
         reply = await self._client.request("GET", path, timeout=timeout)
         return reply if isinstance(reply, Failure) else _decode(reply, Page)
 
@@ -111,7 +111,7 @@
 
     async def hosts(self) -> list[HostEntry] | Failure:
         """Return all hosts of the platform."""
-        reply = await self._client.request("GET", "/hosts", timeout=READ_MARGIN)
+        reply = await self._client.request("GET", "/hosts", timeout=REPLY_TIMEOUT)
         if isinstance(reply, Failure):
             return reply
         return _decode(reply, list[HostEntry])
@@ -126,7 +126,7 @@
     async def reserve(self, model: str, version: str) -> float | Failure:
         """Reserve one load of a model; return the seconds to wait before it."""
         path = f"/weights/{model}/{version}/reserve"
-        reply = await self._client.request("POST", path, timeout=READ_MARGIN)
+        reply = await self._client.request("POST", path, timeout=REPLY_TIMEOUT)
         if isinstance(reply, Failure):
             return reply
         decoded = _decode(reply, ReserveReply)
--- a/sequoiaarch/storage/relayed.py
+++ b/sequoiaarch/storage/relayed.py
@@ -40,7 +40,8 @@
     """Store client that calls directly, and through a peer while that fails.
 
     The store may reject one process for seconds while it serves the others. A
-    call may arrive on both paths; appends carry a sequence number.
+    call may arrive on both paths; the store detects a duplicate append by its
+    sequence number.
     """
 
     def __init__(
@@ -50,7 +51,11 @@
         relay: RelayCall,
         relay_delay: Callable[[], float] = lambda: DEFAULT_RELAY_DELAY,
     ) -> None:
-        """Take both paths; `relay_delay` returns the seconds before the second."""
+        """Store both paths.
+
+        `relay_delay` returns the seconds without a direct reply before a peer is
+        asked too.
+        """
         self._direct = direct
         self._relay = relay
         self._relay_delay = relay_delay
--- a/sequoiaarch/tests/http1/exchange_tests.py
+++ b/sequoiaarch/tests/http1/exchange_tests.py
@@ -108,7 +108,7 @@
         self.assertFalse(connection.finish())
 
     async def test_response_is_not_http(self) -> None:
-        """Bytes that are not HTTP are an error."""
+        """A response that is not HTTP is an error."""
         connection = await self.serve(b"\x00\x01 nothing of the kind\r\n\r\n")
         self.assertIs(await self.fault(connection), ExchangeFault.GARBLED)
 
@@ -270,8 +270,8 @@
         async with asyncio.timeout(TIMEOUT):
             while self.server.held_bytes:
                 await asyncio.sleep(0.01)
-        close = head.replace(b"Host: h", b"Host: h\r\nConnection: close")
-        answer = await self.exchange(close + b"x" * 60)
+        closing_head = head.replace(b"Host: h", b"Host: h\r\nConnection: close")
+        answer = await self.exchange(closing_head + b"x" * 60)
         self.assertIn(b"200", answer.split(b"\r\n")[0])
 
     async def test_connection_limit(self) -> None:
--- a/sequoiaarch/tests/platform/api_keys_tests.py
+++ b/sequoiaarch/tests/platform/api_keys_tests.py
@@ -64,8 +64,8 @@
         """Return the workspace headers that targets received, in order."""
         return [
             value
-            for one in self.exchanges
-            for name, value in one.request.headers
+            for exchange in self.exchanges
+            for name, value in exchange.request.headers
             if name.lower() == b"x-tenant"
         ]
 
@@ -98,7 +98,7 @@
         self.assertEqual((await self.call_with_key("/safe/a", KEY_ONE)).status, 401)
         self.assertEqual((await self.call_with_key("/safe/a", "new-key")).status, 200)
 
-    async def test_turn_of_another_workspace_is_not_found(self) -> None:
+    async def test_turn_of_another_workspace_is_not_workspace_entry(self) -> None:
         """Separate the turns, programs and budgets of two workspaces."""
         first = await self.retained_turn("one", KEY_ONE, attempt="t1")
         self.assertEqual(first.status, 200)
@@ -108,12 +108,12 @@
         self.assertEqual(same_program.status, 200)
         same_workspace = await self.retained_turn("two", KEY_ONE, previous="t1")
         self.assertEqual(same_workspace.status, 200)
-        prompts = [one.request.body for one in self.exchanges]
+        prompts = [exchange.request.body for exchange in self.exchanges]
         self.assertEqual(prompts[:2], [b"one", b"x"])
         self.assertTrue(prompts[2].startswith(b"one"))
 
     async def test_isolation_after_restart(self) -> None:
-        """Separate workspaces in what a new process reads from the store."""
+        """Separate workspaces in a new process that reads the store."""
         await self.retained_turn("one", KEY_ONE, attempt="t1")
         await self.gateway.close()
         restarted = await self.add_daemon("b")
@@ -144,7 +144,7 @@
         await self.call_until(gateway, 200)
 
     async def test_records_from_before_workspaces(self) -> None:
-        """Read turns that were retained before workspaces were configured."""
+        """Retain and continue turns while no workspaces are configured."""
         await self.store.put("keyed.op", "config", config(3, ROUTES))
         await self.wait_for_version(3)
         self.assertEqual(
@@ -177,9 +177,9 @@
         await self.retained_turn("one", KEY_ONE, attempt="t1")
         self.events.flush()
         sent = b"".join(
-            name + value + one.request.body
-            for one in self.exchanges
-            for name, value in one.request.headers
+            name + value + exchange.request.body
+            for exchange in self.exchanges
+            for name, value in exchange.request.headers
         )
         records = b"".join(
             record.key.encode() + record.value
@@ -228,12 +228,12 @@
 
     async def test_unusable_limits(self) -> None:
         """Reject negative limits, and read 0 as unlimited."""
-        for bad in ({"ratePerS": -1}, {"burst": -2}, {"ratePerS": "many"}):
-            with self.subTest(bad=bad), self.assertRaises(ValueError):
-                decode_routes(config(1, ROUTES, tenants=[tenant("a", "k", **bad)]))
+        for limits in ({"ratePerS": -1}, {"burst": -2}, {"ratePerS": "many"}):
+            with self.subTest(limits=limits), self.assertRaises(ValueError):
+                decode_routes(config(1, ROUTES, tenants=[tenant("a", "k", **limits)]))
         document = config(1, ROUTES, tenants=[tenant("a", "k", ratePerS=0, burst=5)])
         directory = decode_routes(document).workspaces
         assert directory is not None
-        found = directory.holder("k")
-        assert found is not None
-        self.assertIsNone(found.limit)
+        workspace_entry = directory.holder("k")
+        assert workspace_entry is not None
+        self.assertIsNone(workspace_entry.limit)
--- a/sequoiaarch/tests/platform/deployment.py
+++ b/sequoiaarch/tests/platform/deployment.py
@@ -157,7 +157,7 @@
 
 
 class DeploymentTestCase(unittest.IsolatedAsyncioTestCase):
-    """Runs a deployment for each test."""
+    """Run a deployment for each test."""
 
     async def asyncSetUp(self) -> None:
         """Start the store."""
@@ -247,14 +247,17 @@
         **headers: str,
     ) -> Answer:
         """Send a request and return its answer, with status 0 if none arrived."""
-        sent = [
+        encoded_headers = [
             (b"Host", HOST.encode()),
             (b"X-Attempt-Id", (attempt or self.fresh_id()).encode()),
         ]
         for name, value in headers.items():
-            sent.append((name.replace("_", "-").encode(), value.encode()))
+            encoded_headers.append((name.replace("_", "-").encode(), value.encode()))
         message = RequestMessage(
-            method=method.encode(), target=path.encode(), headers=sent, body=body
+            method=method.encode(),
+            target=path.encode(),
+            headers=encoded_headers,
+            body=body,
         )
         connection = await connect((LOOPBACK, daemon.front.port), timeout=TIMEOUT)
         try:
--- a/sequoiaarch/tests/platform/end_to_end_tests.py
+++ b/sequoiaarch/tests/platform/end_to_end_tests.py
@@ -141,13 +141,14 @@
             exchange.reset()
 
         targets = [
-            await self.add_target(f"i-{one}", TOOLS, reset_connection) for one in (1, 2)
+            await self.add_target(f"i-{number}", TOOLS, reset_connection)
+            for number in (1, 2)
         ]
         daemon = await self.add_daemon("a")
         calls = 60
         for _ in range(calls):
             self.assertEqual((await self.call(daemon, "/safe/x")).status, 502)
-        sent = sum(len(one.exchanges) for one in targets)
+        sent = sum(len(target.exchanges) for target in targets)
         self.assertLessEqual(sent, calls + RETRY_BURST + RETRY_RATIO * calls)
         self.assertGreater(sent, calls)
 
@@ -256,8 +257,8 @@
         target = await self.add_target("i-1", ENGINES, longest_answer)
         daemon = await self.add_daemon("a")
         answers = [await self.turn(daemon, b"x", budget=200) for _ in range(3)]
-        self.assertEqual([one.status for one in answers], [200, 200, 402])
-        self.assertTrue(all(one.complete for one in answers))
+        self.assertEqual([answer.status for answer in answers], [200, 200, 402])
+        self.assertTrue(all(answer.complete for answer in answers))
         self.assertEqual(len(target.exchanges), 2)
 
     async def test_stream_ends_during_grant_request(self) -> None:
--- a/sequoiaarch/tests/platform/external_records_tests.py
+++ b/sequoiaarch/tests/platform/external_records_tests.py
@@ -114,7 +114,7 @@
         self.assertTrue(0 < entry.port <= 65535 and entry.slots > 0)
 
 
-class _Replies:
+class _FixedReplyClient:
     """Store client that answers every call with the same bytes."""
 
     def __init__(self, body: bytes) -> None:
@@ -127,7 +127,7 @@
 
 def log_of(body: bytes) -> PlatformLog:
     """Return a log whose store answers every call with the bytes."""
-    return PlatformLog(client=_Replies(body))
+    return PlatformLog(client=_FixedReplyClient(body))
 
 
 def run(answer: Awaitable[Any]) -> Any:
@@ -152,7 +152,7 @@
         body = (3).to_bytes(8, "big") + bytes(8)
         body += frame(b"\x01aone") + frame(b"\x02\xff\xfex") + frame(b"\x01btwo")
         page = run(log_of(body).read(PARTITION, 0, wait=0))  # type: ignore[arg-type]
-        self.assertEqual([one.key for one in page.records], ["a", "", "b"])
+        self.assertEqual([record.key for record in page.records], ["a", "", "b"])
         self.assertEqual(page.next, 3)
 
     def test_listed_value_that_is_not_base64(self) -> None:
@@ -163,7 +163,7 @@
         ]
         body = json.dumps({"items": items, "endOffset": 3}).encode()
         newest = run(log_of(body).newest(PARTITION))
-        self.assertEqual([one.key for one in newest.records], ["a"])
+        self.assertEqual([record.key for record in newest.records], ["a"])
 
     @settings(max_examples=200, derandomize=True, deadline=None)
     @given(st.binary(max_size=80))
@@ -187,7 +187,7 @@
 
 
 class ExternalRecordTests(DeploymentTestCase):
-    """Serve requests beside invalid registrations, new ones and listed ones."""
+    """Serve requests while other processes write invalid registrations."""
 
     async def write_registration(self, key: str, value: bytes) -> None:
         """Write a registration as another process does."""
--- a/sequoiaarch/tests/platform/http_store.py
+++ b/sequoiaarch/tests/platform/http_store.py
@@ -72,13 +72,13 @@
             epoch=int(query["epoch"]),
             sequence=int(query["sequence"]),
         )
-        done = await self.store.append(partition, records, writer)
-        if isinstance(done, Failure):
+        offset = await self.store.append(partition, records, writer)
+        if isinstance(offset, Failure):
             await reply.send_response(409, [], json.dumps({"why": "seq"}).encode())
             return
         if self.drops_answer():
             await asyncio.Event().wait()
-        answer = {"offset": done, "endOffset": done + len(records)}
+        answer = {"offset": offset, "endOffset": offset + len(records)}
         await reply.send_response(200, [], json.dumps(answer).encode())
 
     async def _read(
@@ -103,16 +103,16 @@
         newest = self.store.newest(partition)
         after = query.get("after", "")
         remaining = sorted(
-            (one for one in newest.records if one.key > after),
-            key=lambda one: one.key,
+            (record for record in newest.records if record.key > after),
+            key=lambda record: record.key,
         )
         items = [
             {
-                "key": one.key,
-                "value": base64.b64encode(one.value).decode(),
-                "offset": one.offset,
+                "key": record.key,
+                "value": base64.b64encode(record.value).decode(),
+                "offset": record.offset,
             }
-            for one in remaining[: self._page_size]
+            for record in remaining[: self._page_size]
         ]
         answer = {
             "items": items,
--- a/sequoiaarch/tests/platform/names_tests.py
+++ b/sequoiaarch/tests/platform/names_tests.py
@@ -31,7 +31,7 @@
 def sources() -> list[Path]:
     """Return all modules of the product without its tests."""
     tests = PACKAGE / "tests"
-    return [one for one in PACKAGE.rglob("*.py") if tests not in one.parents]
+    return [path for path in PACKAGE.rglob("*.py") if tests not in path.parents]
 
 
 class NamesTests(unittest.TestCase):
@@ -41,18 +41,18 @@
         """Use names of the platform's protocol only in the adapter and its tests."""
         pattern = re.compile(NAMES, re.IGNORECASE)
         tests = [
-            one
-            for one in (PACKAGE / "tests").rglob("*.py")
-            if ADAPTER_TESTS not in one.parents
+            test_path
+            for test_path in (PACKAGE / "tests").rglob("*.py")
+            if ADAPTER_TESTS not in test_path.parents
         ]
-        found = [
+        misplaced_names = [
             f"{path.relative_to(PACKAGE)}:{number}: {match.group()}"
             for path in [*sources(), *tests]
             if ADAPTER not in path.parents
             for number, line in enumerate(path.read_text().splitlines(), 1)
             if (match := pattern.search(line))
         ]
-        self.assertEqual(found, [])
+        self.assertEqual(misplaced_names, [])
 
     def test_adapter_stays_small(self) -> None:
         """Limit the adapter's share of the code, and print it."""
--- a/sequoiaarch/tests/platform/outage_tests.py
+++ b/sequoiaarch/tests/platform/outage_tests.py
@@ -123,9 +123,9 @@
         daemon = await self.start_lender()
         self.clients["one"].faults.down = True
         answers = [await self.run_turn(daemon, "/free/a", "loops") for _ in range(4)]
-        self.assertEqual([one.status for one in answers], [200, 200, 503, 503])
-        self.assertEqual([one.complete for one in answers[:2]], [True, False])
-        events = sum(one.body.count(b"data:") for one in answers[:2])
+        self.assertEqual([answer.status for answer in answers], [200, 200, 503, 503])
+        self.assertEqual([answer.complete for answer in answers[:2]], [True, False])
+        events = sum(answer.body.count(b"data:") for answer in answers[:2])
         self.assertLessEqual(events * 10, BUDGET * 3 // 16)
         for refused in answers[2:]:
             self.assertIn("retry-after", refused.headers)
--- a/sequoiaarch/tests/platform/quotas_tests.py
+++ b/sequoiaarch/tests/platform/quotas_tests.py
@@ -67,23 +67,23 @@
         started = time.monotonic()
         answers = [await self.tool(LIMITED_KEY) for _ in range(5 * MAX_REQUESTS)]
         windows = 1 + (time.monotonic() - started)
-        served = [one for one in answers if one.status == 200]
-        refused = [one for one in answers if one.status == 429]
+        served = [answer for answer in answers if answer.status == 200]
+        refused = [answer for answer in answers if answer.status == 429]
         self.assertEqual(len(served) + len(refused), len(answers))
         self.assertEqual(self.executed, len(served))
         self.assertLessEqual(len(served), MAX_REQUESTS * windows)
         self.assertTrue(refused)
-        for one in refused:
-            self.assertIn(b'"not_run":"true"', one.body)
-            self.assertGreater(float(one.headers["retry-after"]), 0)
+        for answer in refused:
+            self.assertIn(b'"not_run":"true"', answer.body)
+            self.assertGreater(float(answer.headers["retry-after"]), 0)
 
     async def test_workspace_without_a_limit(self) -> None:
         """Serve every request of a workspace without a limit."""
         answers = [await self.tool(UNLIMITED_KEY) for _ in range(5 * MAX_REQUESTS)]
-        self.assertEqual({one.status for one in answers}, {200})
+        self.assertEqual({answer.status for answer in answers}, {200})
 
     async def test_requests_that_did_not_run(self) -> None:
-        """Count no requests that no target has run."""
+        """Count no request towards the limit that no target has run."""
         self.targets["tool"].behaviour = not_run_answer
         for _ in range(5 * MAX_REQUESTS):
             answer = await self.tool(LIMITED_KEY)
--- a/sequoiaarch/tests/platform/soak/callers.py
+++ b/sequoiaarch/tests/platform/soak/callers.py
@@ -31,7 +31,7 @@
 BUDGET_TURNS = 8
 OK = 200
 BUDGET_EXHAUSTED = 402
-UNKNOWN_TURN = 404
+NOT_FOUND = 404
 
 
 @dataclass(kw_only=True)
@@ -53,7 +53,7 @@
 
 @dataclass(kw_only=True)
 class Conversation:
-    """Prompt and token counts of a program, and the turn that its next continues."""
+    """Prompt and token counts of a program, and its latest retained turn."""
 
     program: str
     budget: int
@@ -66,7 +66,7 @@
 
 
 class Caller:
-    """Runs programs, each request through a random gateway."""
+    """Run programs, each request through a random gateway."""
 
     def __init__(
         self,
@@ -136,7 +136,7 @@
             if answer.served:
                 self._checker.counts["turns"] += 1
                 return True
-            if answer.status in (BUDGET_EXHAUSTED, UNKNOWN_TURN):
+            if answer.status in (BUDGET_EXHAUSTED, NOT_FOUND):
                 return False
             await asyncio.sleep(self._retry_delay(answer, retries))
         return False
@@ -192,8 +192,8 @@
         if answer.served and conversation.retained:
             conversation.previous = attempt
             answer_text = b"".join(
-                f"{attempt}-{one}\n".encode()
-                for one in range(1, event_count(attempt) + 1)
+                f"{attempt}-{number}\n".encode()
+                for number in range(1, event_count(attempt) + 1)
             )
             conversation.prompt = prompt + answer_text
         return answer
@@ -221,7 +221,7 @@
             self._checker.report_violation(
                 Property.WHOLE, f"{attempt} got the beginning {answer.body!r}"
             )
-        if answer.status == UNKNOWN_TURN:
+        if answer.status == NOT_FOUND:
             text = (
                 f"{attempt} of {conversation.program}: "
                 f"{conversation.previous} is not known"
@@ -299,10 +299,10 @@
 
 
 class KeepAliveCaller:
-    """Sends requests on one connection for as long as the gateway keeps it open.
+    """Send requests on one connection for as long as the gateway keeps it open.
 
-    It calls routes of random configuration versions, and reports a gateway that no
-    longer knows a route that it has served.
+    Call routes of random configuration versions, and report a gateway that no longer
+    knows a route that it has served.
     """
 
     def __init__(
@@ -357,7 +357,7 @@
 
     def _check_route(self, version: int, generation: int, answer: Answer) -> None:
         seen = self._seen_versions.get(generation, 0)
-        if answer.status == UNKNOWN_TURN and version <= seen:
+        if answer.status == NOT_FOUND and version <= seen:
             text = f"{self._gateway.name} served version {seen} and lacks {version}"
             self._checker.report_violation(Property.CONFIGURATION, text)
         if answer.status == OK:
--- a/sequoiaarch/tests/platform/soak/faults.py
+++ b/sequoiaarch/tests/platform/soak/faults.py
@@ -18,16 +18,16 @@
 SHORT_DURATION = (0.2, 1.5)
 LONG_DURATION = (0.5, 4.0)
 DRAIN_DURATION = (2.0, 10.0)
-QUIET_DRAIN_SHARE = 0.05
+QUIET_DRAIN_FRACTION = 0.05
 QUIET_DRAIN_SECONDS = 4.5
-LOST_ANSWER_SHARE = 0.35
+LOST_ANSWER_FRACTION = 0.35
 PROXY_DELAY = 0.25
 
 Action = Callable[[], Awaitable[None]]
 
 
 class FaultInjector:
-    """Injects faults into gateways, targets and the store.
+    """Inject faults into gateways, targets and the store.
 
     It tracks since when the store has been available to all gateways.
     """
@@ -73,7 +73,7 @@
         loop = asyncio.get_running_loop()
         actions, weights = zip(*self._actions, strict=True)
         while loop.time() < until:
-            if self._rng.random() < QUIET_DRAIN_SHARE:
+            if self._rng.random() < QUIET_DRAIN_FRACTION:
                 await self._drain_without_faults()
             action = self._rng.choices(actions, weights)[0]
             self.counts[action.__name__.strip("_")] += 1
@@ -92,13 +92,16 @@
     def undisturbed_since(self) -> float:
         """Return the loop time of the last kill or store fault."""
         return max(
-            self.store_available_since(), *(one.killed_at for one in self._gateways)
+            self.store_available_since(),
+            *(gateway.killed_at for gateway in self._gateways),
         )
 
     def _choose_gateway(self) -> Gateway | None:
         """Return a random gateway whose process has no active fault."""
         available = [
-            one for one in self._gateways if one.name not in self._faulty_gateways
+            gateway
+            for gateway in self._gateways
+            if gateway.name not in self._faulty_gateways
         ]
         return self._rng.choice(available) if available else None
 
@@ -123,9 +126,13 @@
 
     async def _kill_all(self) -> None:
         available = [
-            one for one in self._gateways if one.name not in self._faulty_gateways
+            gateway
+            for gateway in self._gateways
+            if gateway.name not in self._faulty_gateways
         ]
-        await asyncio.gather(*(self._restart(one, one.kill) for one in available))
+        await asyncio.gather(
+            *(self._restart(gateway, gateway.kill) for gateway in available)
+        )
 
     async def _hang_up(self) -> None:
         gateway = self._choose_gateway()
@@ -179,7 +186,7 @@
         self._begin_store_fault()
         for gateway in self._gateways:
             gateway.store_server.drops_answer = lambda: (
-                self._rng.random() < LOST_ANSWER_SHARE
+                self._rng.random() < LOST_ANSWER_FRACTION
             )
         await asyncio.sleep(self._rng.uniform(*LONG_DURATION))
         for gateway in self._gateways:
--- a/sequoiaarch/tests/platform/soak/gateways.py
+++ b/sequoiaarch/tests/platform/soak/gateways.py
@@ -165,13 +165,13 @@
     async def send_hangup(self) -> None:
         """Send SIGHUP once the process handles or ignores it.
 
-        Before the interpreter runs any of the product, the signal ends the process.
+        The signal ends a process that has not set up its handling yet.
         """
-        while self.running and self._would_die_of(signal.SIGHUP):
+        while self.running and self._is_terminated_by(signal.SIGHUP):
             await asyncio.sleep(SIGHUP_POLL_INTERVAL)
         self.signal(signal.SIGHUP)
 
-    def _would_die_of(self, number: signal.Signals) -> bool:
+    def _is_terminated_by(self, number: signal.Signals) -> bool:
         """Return whether the process neither ignores nor handles the signal."""
         assert self._process is not None
         try:
--- a/sequoiaarch/tests/platform/soak/links.py
+++ b/sequoiaarch/tests/platform/soak/links.py
@@ -54,7 +54,7 @@
 
 
 class LinkFaults:
-    """Injects overlapping faults into the links from other gateways.
+    """Inject overlapping faults into the links from other gateways.
 
     It has its own random generator, so that the other faults of a seed don't depend
     on it.
@@ -62,7 +62,7 @@
 
     def __init__(self, *, gateways: list[Gateway], rng: random.Random) -> None:
         self.counts: Counter[str] = Counter()
-        self._idle_gateways = list(gateways)
+        self._unaffected_gateways = list(gateways)
         self._rng = rng
 
     async def run(self, until: float) -> None:
@@ -70,16 +70,16 @@
         loop = asyncio.get_running_loop()
         async with asyncio.TaskGroup() as group:
             while (remaining := until - loop.time()) > 0:
-                if self._idle_gateways:
+                if self._unaffected_gateways:
                     group.create_task(self._apply_fault(remaining))
                 await asyncio.sleep(min(remaining, self._rng.uniform(*START_INTERVAL)))
 
     async def _apply_fault(self, remaining: float) -> None:
-        gateway = self._rng.choice(self._idle_gateways)
-        self._idle_gateways.remove(gateway)
+        gateway = self._rng.choice(self._unaffected_gateways)
+        self._unaffected_gateways.remove(gateway)
         fault = self._rng.choices(list(FAULT_WEIGHTS), list(FAULT_WEIGHTS.values()))[0]
         self.counts[f"link {fault.name.lower()}"] += 1
         gateway.peer_proxy.set_fault(fault, self._rng.uniform(*DELAY))
         await asyncio.sleep(min(remaining, self._rng.uniform(*FAULT_DURATION)))
         gateway.peer_proxy.set_fault(ProxyFault.NONE)
-        self._idle_gateways.append(gateway)
+        self._unaffected_gateways.append(gateway)
--- a/sequoiaarch/tests/platform/soak/planted.py
+++ b/sequoiaarch/tests/platform/soak/planted.py
@@ -158,8 +158,8 @@
 
 
 PLANTED_FAULTS: dict[str, Callable[[], None]] = {
-    one.__name__: one
-    for one in (
+    fault.__name__: fault
+    for fault in (
         commit_skipped,
         budget_counted_late,
         lends_without_account,
--- a/sequoiaarch/tests/platform/soak/property_checker.py
+++ b/sequoiaarch/tests/platform/soak/property_checker.py
@@ -59,7 +59,7 @@
 
 @dataclass(kw_only=True)
 class PropertyChecker:
-    """Records what targets and callers observe, and checks the properties."""
+    """Record what targets and callers observe, and check the properties."""
 
     runs: dict[str, list[TargetRun]] = field(default_factory=dict)
     refused_statuses: dict[str, int] = field(default_factory=dict)
@@ -126,7 +126,7 @@
                 self.report_violation(Property.QUOTA, text)
 
     def _max_runs_in_window(self, workspace: str, seconds: float) -> int:
-        """Return the highest number of runs in any window of so many seconds."""
+        """Return the highest number of runs in any window of that length."""
         times = sorted(
             run.at
             for runs in self.runs.values()
--- a/sequoiaarch/tests/platform/soak/proxy.py
+++ b/sequoiaarch/tests/platform/soak/proxy.py
@@ -55,7 +55,7 @@
 
 
 class FaultProxy:
-    """Forwards connections to an address, subject to the current fault."""
+    """Forward connections to an address, subject to the current fault."""
 
     def __init__(self, *, target: tuple[str, int]) -> None:
         self.target = target
@@ -125,10 +125,10 @@
         except OSError:
             _reset(writer)
         finally:
-            for one in (writer, target_writer):
-                if one is not None:
-                    self._writers.discard(one)
-                    one.transport.abort()
+            for open_writer in (writer, target_writer):
+                if open_writer is not None:
+                    self._writers.discard(open_writer)
+                    open_writer.transport.abort()
 
     async def _forward(
         self,
--- a/sequoiaarch/tests/platform/soak/run.py
+++ b/sequoiaarch/tests/platform/soak/run.py
@@ -59,7 +59,7 @@
 
 
 class Soak:
-    """Runs gateway processes between a stand-in store and stand-in targets."""
+    """Run gateway processes between a stand-in store and stand-in targets."""
 
     def __init__(self, *, plan: Plan, folder: Path) -> None:
         self._plan = plan
@@ -92,8 +92,10 @@
             rng=self._fresh_rng(),
         )
         self._keep_alive_callers = [
-            KeepAliveCaller(gateway=one, checker=self._checker, rng=self._fresh_rng())
-            for one in self._gateways
+            KeepAliveCaller(
+                gateway=gateway, checker=self._checker, rng=self._fresh_rng()
+            )
+            for gateway in self._gateways
             for _ in range(KEEP_ALIVE_CALLERS_PER_GATEWAY)
         ]
         self._callers = [
@@ -136,16 +138,16 @@
             end = until + self._plan.link_seconds
             await asyncio.gather(
                 self._fault_injector.run(until - FAULT_FREE_SECONDS),
-                *(one.run(until) for one in self._callers),
-                *(one.run(until) for one in self._keep_alive_callers),
-                *(one.run(until) for one in self._workspace_callers),
+                *(caller.run(until) for caller in self._callers),
+                *(caller.run(until) for caller in self._keep_alive_callers),
+                *(caller.run(until) for caller in self._workspace_callers),
                 self._link_faults.run(end - LINK_FAULT_FREE_SECONDS),
-                *(one.run(end) for one in self._small_budget_callers),
+                *(caller.run(end) for caller in self._small_budget_callers),
             )
             await self._check_end()
         finally:
-            await asyncio.gather(*(one.close() for one in self._gateways))
-            await asyncio.gather(*(one.stop() for one in self._targets))
+            await asyncio.gather(*(gateway.close() for gateway in self._gateways))
+            await asyncio.gather(*(target.stop() for target in self._targets))
         self._checker.check_end()
         for gateway in self._gateways:
             self._checker.counts["harmed between gateways"] += (
@@ -185,7 +187,9 @@
             self._store.proxies[gateway.name] = gateway.peer_address
         for gateway in self._gateways:
             others = [
-                one.peer_address for one in self._gateways[:3] if one is not gateway
+                other.peer_address
+                for other in self._gateways[:3]
+                if other is not gateway
             ]
             gateway.write_settings(others)
         for gateway in self._gateways:
@@ -216,7 +220,9 @@
         deadline = asyncio.get_running_loop().time() + START_SECONDS
         waiting = list(self._gateways)
         while waiting and asyncio.get_running_loop().time() < deadline:
-            waiting = [one for one in waiting if not await one.ready()]
+            waiting = [
+                candidate for candidate in waiting if not await candidate.ready()
+            ]
             await asyncio.sleep(0.05)
         for gateway in waiting:
             text = f"{gateway.name} is not ready: {gateway.process_state}"
@@ -228,8 +234,8 @@
         caller = self._callers[0]
         conversations = [
             conversation
-            for one in self._callers
-            for conversation in one.conversations
+            for owner in self._callers
+            for conversation in owner.conversations
             if conversation.retained
             and conversation.previous
             and conversation.counted < conversation.budget / 2
--- a/sequoiaarch/tests/platform/soak/small.py
+++ b/sequoiaarch/tests/platform/soak/small.py
@@ -22,7 +22,7 @@
 
 
 class SmallBudgetCaller(Caller):
-    """Runs one turn at a time, and reports a refusal while the budget has room.
+    """Run one turn at a time, and report a refusal while the budget has room.
 
     Tokens granted to a process that was killed, or could not reach the store, may
     count as used. Programs during which that happened are not checked.
@@ -55,7 +55,7 @@
         retries = 0
         while _has_room(conversation) and asyncio.get_running_loop().time() < until:
             answer = await self._turn_once(conversation, conversation)
-            if self._gives_up(conversation, answer):
+            if self._ends_program(conversation, answer):
                 break
             retries = 0 if answer.served else retries + 1
             if retries:
@@ -64,21 +64,21 @@
         self._checker.counts["small programs judged"] += self._undisturbed()
         await asyncio.sleep(self._rng.uniform(*PROGRAM_INTERVAL))
 
-    def _gives_up(self, conversation: Conversation, answer: Answer) -> bool:
+    def _ends_program(self, conversation: Conversation, answer: Answer) -> bool:
         """Return whether the answer ends the program; report a wrong refusal."""
         now = asyncio.get_running_loop().time()
         if HELD_REASON not in answer.body:
             self._held_since = None
         elif self._held_since is None:
             self._held_since = now
-        held = 0.0 if self._held_since is None else now - self._held_since
-        if answer.status != BUDGET_EXHAUSTED and held < MAX_HELD_SECONDS:
+        held_seconds = 0.0 if self._held_since is None else now - self._held_since
+        if answer.status != BUDGET_EXHAUSTED and held_seconds < MAX_HELD_SECONDS:
             return False
         self._checker.counts["small programs refused"] += 1
         if self._undisturbed():
             text = (
                 f"{conversation.program} is refused with {conversation.counted} of "
-                f"{conversation.budget} tokens used, held for {held:.1f} s: "
+                f"{conversation.budget} tokens used, held for {held_seconds:.1f} s: "
                 f"{answer.body!r} to {answer.attempt}"
             )
             self._checker.report_violation(Property.ROOM, text)
--- a/sequoiaarch/tests/platform/soak/targets.py
+++ b/sequoiaarch/tests/platform/soak/targets.py
@@ -23,8 +23,8 @@
 MAX_EVENTS = 6
 MAX_TOKENS = MAX_EVENTS * EVENT_TOKENS
 EVENT_SECONDS = 0.01
-# Share of requests that a target refuses as overloaded.
-FULL_SHARE = 0.02
+# Fraction of requests that a target refuses as overloaded.
+OVERLOADED_FRACTION = 0.02
 # Seconds. Gateways that can reach the store learn of a drain within two; the third
 # allows for a busy machine.
 MAX_DRAIN_DELAY = 3.0
@@ -110,7 +110,7 @@
         if expected_instance != self._instance:
             exchange.send(whole_answer(b"", status=421))
             return
-        if self._rng.random() < FULL_SHARE:
+        if self._rng.random() < OVERLOADED_FRACTION:
             headers = (("X-Not-Executed", "1"), ("X-Attempt-Id", attempt))
             exchange.send(whole_answer(b"", status=503, headers=headers))
             return
--- a/sequoiaarch/tests/platform/soak/workspace_callers.py
+++ b/sequoiaarch/tests/platform/soak/workspace_callers.py
@@ -63,9 +63,9 @@
 
 
 class WorkspaceCaller:
-    """Calls a service with current and revoked keys, each time through any gateway.
+    """Call a service with current and revoked keys, each time through any gateway.
 
-    Revoked keys are used on, as a gateway may not know yet that they were revoked.
+    Revoked keys stay in use to check that gateways refuse them in time.
     """
 
     def __init__(
@@ -87,10 +87,10 @@
     async def run(self, until: float) -> None:
         """Call until the loop time `until`."""
         while asyncio.get_running_loop().time() < until:
-            await self._call(self._key())
+            await self._call(self._choose_key())
             await asyncio.sleep(self._rng.uniform(*CALL_INTERVAL))
 
-    def _key(self) -> str:
+    def _choose_key(self) -> str:
         if not self._rate_limited and self._keys[-1] != self._workspaces.key:
             self._keys.append(self._workspaces.key)
         return self._rng.choice(self._keys[-3:])
--- a/sequoiaarch/tests/platform/soak_tests.py
+++ b/sequoiaarch/tests/platform/soak_tests.py
@@ -63,4 +63,6 @@
         )
         with mock.patch.dict(os.environ, environment):
             report = run(plan)
-        self.assertTrue(any(one.startswith("HISTORY") for one in report.broken))
+        self.assertTrue(
+            any(violation.startswith("HISTORY") for violation in report.broken)
+        )
--- a/sequoiaarch/tests/platform/store_tests.py
+++ b/sequoiaarch/tests/platform/store_tests.py
@@ -82,13 +82,13 @@
 
     async def test_newest_over_several_pages(self) -> None:
         """Read the newest records over several pages."""
-        records = [KeyedRecord(key=f"k{one}", value=b"v") for one in range(5)]
+        records = [KeyedRecord(key=f"k{number}", value=b"v") for number in range(5)]
         await self.append(0, *records)
         newest = await self.log.newest(PARTITION)
         assert isinstance(newest, NewestRecords)
         listed = [
-            ListedRecord(key=one.key, value=one.value, offset=Offset(offset))
-            for offset, one in enumerate(records)
+            ListedRecord(key=record.key, value=record.value, offset=Offset(offset))
+            for offset, record in enumerate(records)
         ]
         self.assertEqual(newest.records, listed)
         self.assertEqual(newest.resume, 5)
--- a/sequoiaarch/tests/storage/contract_tests.py
+++ b/sequoiaarch/tests/storage/contract_tests.py
@@ -172,9 +172,9 @@
         hosts = HttpHostList(client=client)
 
         def states() -> dict[HostName, HostState]:
-            found = asyncio.run(hosts.hosts())
-            assert not isinstance(found, Failure)
-            return {entry.host: entry.state for entry in found}
+            entries = asyncio.run(hosts.hosts())
+            assert not isinstance(entries, Failure)
+            return {entry.host: entry.state for entry in entries}
 
         platform.set_host(HostName("h"), HostState.LIVE)
         self.assertEqual(states(), {"h": HostState.LIVE})
--- a/sequoiaarch/tests/wire/links_tests.py
+++ b/sequoiaarch/tests/wire/links_tests.py
@@ -184,10 +184,10 @@
 
     def test_lost_connection_ends_pending_requests(self) -> None:
         """Pending requests end as unknown when the connection breaks."""
-        started = asyncio.Event
+        new_event = asyncio.Event
 
         async def run() -> Reply:
-            arrived = started()
+            arrived = new_event()
 
             async def hang(request: Request, send: Send) -> Reply:
                 arrived.set()
--- a/sequoiaarch/wire/links.py
+++ b/sequoiaarch/wire/links.py
@@ -330,7 +330,7 @@
 
 
 class Links:
-    """Links to peers by address."""
+    """Cache of links to peers, one for each address."""
 
     def __init__(
         self,
