--- a/sequoiaarch/tests/platform/api_keys_tests.py
+++ b/sequoiaarch/tests/platform/api_keys_tests.py
@@ -98,7 +98,7 @@
         self.assertEqual((await self.call_with_key("/safe/a", KEY_ONE)).status, 401)
         self.assertEqual((await self.call_with_key("/safe/a", "new-key")).status, 200)
 
-    async def test_turn_of_another_workspace_is_not_workspace_entry(self) -> None:
+    async def test_turn_of_another_workspace_is_not_found(self) -> None:
         """Separate the turns, programs and budgets of two workspaces."""
         first = await self.retained_turn("one", KEY_ONE, attempt="t1")
         self.assertEqual(first.status, 200)
@@ -143,7 +143,7 @@
         self.clients["strict"].faults.down = False
         await self.call_until(gateway, 200)
 
-    async def test_records_from_before_workspaces(self) -> None:
+    async def test_turns_without_workspaces(self) -> None:
         """Retain and continue turns while no workspaces are configured."""
         await self.store.put("keyed.op", "config", config(3, ROUTES))
         await self.wait_for_version(3)
--- a/sequoiaarch/tests/platform/quotas_tests.py
+++ b/sequoiaarch/tests/platform/quotas_tests.py
@@ -83,7 +83,7 @@
         self.assertEqual({answer.status for answer in answers}, {200})
 
     async def test_requests_that_did_not_run(self) -> None:
-        """Count no request towards the limit that no target has run."""
+        """Charge no request that no target has run against the limit."""
         self.targets["tool"].behaviour = not_run_answer
         for _ in range(5 * MAX_REQUESTS):
             answer = await self.tool(LIMITED_KEY)
--- a/sequoiaarch/tests/platform/soak/gateways.py
+++ b/sequoiaarch/tests/platform/soak/gateways.py
@@ -47,8 +47,7 @@
 def own_address(number: int) -> str:
     """Return a loopback address that depends on the process id.
 
-    On an address of its own, no other soak takes a port between the check that it is
-    free and the start of the gateway.
+    Otherwise another soak could take a free port before the gateway listens on it.
     """
     process_id = os.getpid()
     return f"127.{1 + (process_id >> 8) % 200}.{process_id & 0xFF}.{1 + number}"
--- a/sequoiaarch/tests/wire/links_tests.py
+++ b/sequoiaarch/tests/wire/links_tests.py
@@ -100,7 +100,7 @@
         )
 
     def test_encrypted_link(self) -> None:
-        """Requests work over an encrypted link."""
+        """A request over an encrypted link gets its reply."""
         public, secret = zmq.curve_keypair()
         keys = CurveKeys(
             public=public.decode(), secret=secret.decode(), server=public.decode()
