--- a/sequoiaarch/tests/platform/soak/gateways.py
+++ b/sequoiaarch/tests/platform/soak/gateways.py
@@ -47,8 +47,7 @@
 def own_address(number: int) -> str:
     """Return a loopback address that depends on the process id.
 
-    On an address of its own, no other soak takes a port between the check that it is
-    free and the start of the gateway.
+    Otherwise another soak could take a free port before the gateway listens on it.
     """
     process_id = os.getpid()
     return f"127.{1 + (process_id >> 8) % 200}.{process_id & 0xFF}.{1 + number}"
@@ -165,13 +164,13 @@
     async def send_hangup(self) -> None:
         """Send SIGHUP once the process handles or ignores it.
 
-        Before the interpreter runs any of the product, the signal ends the process.
+        The signal ends a process that has not set up its handling yet.
         """
-        while self.running and self._would_die_of(signal.SIGHUP):
+        while self.running and self._is_terminated_by(signal.SIGHUP):
             await asyncio.sleep(SIGHUP_POLL_INTERVAL)
         self.signal(signal.SIGHUP)
 
-    def _would_die_of(self, number: signal.Signals) -> bool:
+    def _is_terminated_by(self, number: signal.Signals) -> bool:
         """Return whether the process neither ignores nor handles the signal."""
         assert self._process is not None
         try:
