--- a/sequoiaarch/bench/cluster.py
+++ b/sequoiaarch/bench/cluster.py
@@ -169,7 +169,7 @@
             self._start_daemon(node, self._gateway_settings(node))
         for node in deployment.gateways:
             self.processes[node.name].wait_listening()
-        self.publish(self.documents(), wait_ready=False)
+        self.publish(self.documents(), wait_applied=False)
         for node in [*deployment.gateways, *deployment.engines, *deployment.services]:
             self.wait_ready(node.name)
 
@@ -292,8 +292,8 @@
             },
         }
 
-    def publish(self, documents: list[dict[str, Any]], *, wait_ready: bool) -> None:
-        """Publish documents through the first gateway."""
+    def publish(self, documents: list[dict[str, Any]], *, wait_applied: bool) -> None:
+        """Publish documents through the first gateway, replacing current versions."""
         operator = self.operator()
         current = operator.request("GET", "/v1/admin/config")["documents"]
         changes = []
@@ -303,7 +303,7 @@
             changes.append({"key": key, "base": base, "document": document})
         body = {"id": new_id("publication"), "author": "bench", "changes": changes}
         verdict = operator.request("POST", "/v1/admin/config", body, patient=True)
-        if wait_ready:
+        if wait_applied:
             for node in self._deployment.gateways:
                 self._wait_version(node.name, verdict["offset"] + 1)
 
--- a/sequoiaarch/bench/compare.py
+++ b/sequoiaarch/bench/compare.py
@@ -167,7 +167,7 @@
     latency_weight = LATENCY_WEIGHTS[cluster.deployment.name]
     spec = {"latency_weight": latency_weight, **policy}
     document = {"kind": "Policy", "name": "default", "selector": {}, "spec": spec}
-    cluster.publish([document], wait_ready=True)
+    cluster.publish([document], wait_applied=True)
 
 
 def run_deployment(
--- a/sequoiaarch/bench/cost.py
+++ b/sequoiaarch/bench/cost.py
@@ -295,7 +295,7 @@
                 "selector": {"number": str(number)},
             }
             started = time.monotonic()
-            cluster.publish([document], wait_ready=False)
+            cluster.publish([document], wait_applied=False)
             status = cluster.operator().request("GET", "/v1/admin/status")
             wait_config_applied(urls, status["config_version"] - 1)
             seconds = time.monotonic() - started
--- a/sequoiaarch/bench/soak.py
+++ b/sequoiaarch/bench/soak.py
@@ -326,7 +326,7 @@
             "name": "soak",
             "selector": {"number": str(self._rng.random())},
         }
-        self._cluster.publish([document], wait_ready=False)
+        self._cluster.publish([document], wait_applied=False)
         status = self._cluster.operator().request("GET", "/v1/admin/status")
         if status["config_version"] < self._config_version:
             text = f"version {status['config_version']} after {self._config_version}"
