--- a/sequoiaarch/daemon/__init__.py
+++ b/sequoiaarch/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Daemon process: assembles and runs a gateway or sidecar from its settings."""
+"""Assemble and run a gateway or sidecar from its settings."""
--- a/sequoiaarch/daemon/run.py
+++ b/sequoiaarch/daemon/run.py
@@ -1,4 +1,4 @@
-"""Runs a daemon in the role given in its settings."""
+"""Run a daemon in the role given in its settings."""
 
 from __future__ import annotations
 
--- a/sequoiaarch/daemon/standalone.py
+++ b/sequoiaarch/daemon/standalone.py
@@ -1,4 +1,4 @@
-"""Runs a gateway, sidecars and stand-ins in one process, for trials."""
+"""Run a gateway, sidecars and stand-ins in one process, for trials."""
 
 from __future__ import annotations
 
--- a/sequoiaarch/gateway/__init__.py
+++ b/sequoiaarch/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP gateway: serves callers and operators and routes calls to sidecars."""
+"""Serve callers and operators over HTTP and route calls to sidecars."""
--- a/sequoiaarch/gateway/app.py
+++ b/sequoiaarch/gateway/app.py
@@ -67,7 +67,7 @@
 
 
 class GatewayApp:
-    """Serves the HTTP API of callers and operators, and the health probes."""
+    """Serve the HTTP API of callers and operators, and the health probes."""
 
     def __init__(
         self, *, core: Core, router: Router, bridge: LoopBridge, operators: OperatorApi
@@ -101,7 +101,7 @@
             ("/v1/models", ["GET"], self._list_models),
             ("/v1/programs", ["POST"], self._create_program),
             ("/v1/programs/<name>", ["GET"], self._show_program),
-            ("/v1/programs/<name>", ["DELETE"], self._end),
+            ("/v1/programs/<name>", ["DELETE"], self._end_program),
             ("/v1/programs/<name>/programs", ["POST"], self._spawn_child),
             ("/v1/programs/<name>/tools/<service>", ["POST"], self._call_tool),
             (
@@ -294,7 +294,7 @@
             for commit in commits
         ]
 
-    def _end(self, request: Request, name: str) -> Response:
+    def _end_program(self, request: Request, name: str) -> Response:
         workspace = self._authenticator.workspace(request)
         program = qualified_id(workspace, name, "id")
         state = self._get_program(program, workspace)
--- a/sequoiaarch/gateway/bridge.py
+++ b/sequoiaarch/gateway/bridge.py
@@ -25,10 +25,10 @@
 
 
 class LoopBridge:
-    """Runs coroutines on the event loop for HTTP worker threads.
+    """Run coroutines on the event loop for HTTP worker threads.
 
     Closing the bridge fails all pending calls, so that no worker thread blocks the
-    shutdown of the process by waiting for a response that can't come any more.
+    shutdown of the process by waiting for a response that will never come.
     """
 
     def __init__(self, *, loop: asyncio.AbstractEventLoop, router: Router) -> None:
--- a/sequoiaarch/gateway/gateway.py
+++ b/sequoiaarch/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Assembles a gateway from its router, HTTP application and web server."""
+"""Assemble a gateway from its router, HTTP application and web server."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Gateway:
-    """Serves the HTTP API on an entry host."""
+    """Serve the HTTP API on an entry host."""
 
     def __init__(self, *, core: Core, rng: random.Random) -> None:
         self._core = core
--- a/sequoiaarch/gateway/operators.py
+++ b/sequoiaarch/gateway/operators.py
@@ -106,7 +106,7 @@
 
 
 class OperatorApi:
-    """Serves the HTTP API of operators."""
+    """Serve the HTTP API of operators."""
 
     def __init__(
         self,
--- a/sequoiaarch/gateway/pending_turns.py
+++ b/sequoiaarch/gateway/pending_turns.py
@@ -9,10 +9,10 @@
 
 
 class PendingTurnBuffer:
-    """Keeps each answered turn until it is committed, up to a size limit in bytes.
+    """Keep each answered turn until it is committed, up to a size limit in bytes.
 
-    If the sidecar that owns the program fails between answer and commit, the next
-    owner commits the turn from this buffer before it runs another call.
+    If the home of the program fails between answer and commit, the next home commits
+    the turn from this buffer before it runs another call.
     """
 
     def __init__(self, *, limit: int) -> None:
--- a/sequoiaarch/gateway/requests.py
+++ b/sequoiaarch/gateway/requests.py
@@ -1,4 +1,4 @@
-"""Parses, validates and authenticates the requests of callers and operators."""
+"""Parse, validate and authenticate the requests of callers and operators."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class PublishChange(msgspec.Struct, frozen=True, kw_only=True):
-    """Replaces one document, or removes it if `document` is null."""
+    """Replace one document, or remove it if `document` is null."""
 
     key: str
     base: int
@@ -75,7 +75,7 @@
 
 
 def read_body(request: Request, limit: int) -> bytes:
-    """Return the body of a request; fails if it is longer than `limit` bytes."""
+    """Return the body of a request; fail if it is longer than `limit` bytes."""
     length = request.content_length
     if length is not None and length > limit:
         raise fail(
@@ -112,9 +112,9 @@
 
 
 class RequestAuthenticator:
-    """Authenticates bearer keys and enforces the rate limits of workspaces.
+    """Authenticate bearer keys and enforce the rate limits of workspaces.
 
-    Each process counts on its own; the limits are not shared between gateways.
+    Each process enforces the limits alone; gateways do not share their counts.
     """
 
     def __init__(self, *, settings: Settings) -> None:
@@ -130,7 +130,7 @@
         return self._caller(request).workspace or ANONYMOUS
 
     def admit(self, request: Request) -> Workspace:
-        """Count a call against the rate limit of its workspace, which is returned."""
+        """Count a call against the rate limit of its workspace; return the workspace."""
         caller = self._caller(request)
         if caller.limit is not None:
             with self._lock:
--- a/sequoiaarch/gateway/router.py
+++ b/sequoiaarch/gateway/router.py
@@ -1,6 +1,6 @@
-"""Routes calls to the homes of programs.
+"""Route calls to the homes of programs.
 
-The home of a program is the sidecar that currently owns the program and runs its calls.
+The home of a program is the sidecar that currently runs its calls.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
 
 
 class Router:
-    """Relays calls to the homes of programs and places programs without a home."""
+    """Relay calls to the homes of programs and place programs without a home."""
 
     def __init__(self, *, core: Core, rng: random.Random) -> None:
         self._core = core
@@ -428,11 +428,13 @@
                 if error.failure.kind is not ErrorKind.INTERRUPTED:
                     raise
         home = self.choose_home(state.spec, state.program)
-        silent = state.home or None
-        await self.send_order(home, msgspec.structs.replace(order, silent_home=silent))
+        silent_home = state.home or None
+        await self.send_order(
+            home, msgspec.structs.replace(order, silent_home=silent_home)
+        )
 
     async def send_order(self, home: TargetName, order: ProgramOrder) -> None:
-        """Send an order to a sidecar; raises the failure that it returns."""
+        """Send an order to a sidecar; raise the failure that it returns."""
         address = self._core.membership.address(home)
         if address is None:
             raise fail(ErrorKind.NO_TARGET, f"target {home} is no longer configured")
@@ -444,7 +446,7 @@
             raise FailureError(reply.failure)
 
     def choose_home(self, spec: ProgramSpec, program: ProgramId) -> TargetName:
-        """Return the home for a new program."""
+        """Return a new home for a program."""
         call = CallRequest(program=program, spec=spec, kind=CallKind.SERVICE)
         return self._choose_target(call, None, self._home_candidates(call)).target
 
--- a/sequoiaarch/home/chat.py
+++ b/sequoiaarch/home/chat.py
@@ -78,8 +78,8 @@
         fields = _FIELDS_DECODER.decode(body)
         raw = _RAW_DECODER.decode(body)
     except msgspec.ValidationError as error:
-        reason, _, place = str(error).partition(" - at ")
-        field = place.strip("`").removeprefix("$.") or None
+        reason, _, path = str(error).partition(" - at ")
+        field = path.strip("`").removeprefix("$.") or None
         raise fail(ErrorKind.MALFORMED, reason, field=field) from None
     except msgspec.DecodeError as error:
         raise fail(ErrorKind.MALFORMED, f"the body is not JSON: {error}") from None
@@ -216,7 +216,7 @@
 
 
 class AnswerBuilder:
-    """Assembles a chat completion from its streamed chunks."""
+    """Assemble a chat completion from its streamed chunks."""
 
     def __init__(self) -> None:
         self._content: list[str] = []
--- a/sequoiaarch/home/dispatcher.py
+++ b/sequoiaarch/home/dispatcher.py
@@ -11,7 +11,7 @@
 
 
 class Dispatcher:
-    """Dispatches each attempt to the sidecar of its target, without retries."""
+    """Dispatch each attempt to the sidecar of its target, without retries."""
 
     def __init__(self, *, context: HomeContext) -> None:
         self._context = context
--- a/sequoiaarch/home/local_programs.py
+++ b/sequoiaarch/home/local_programs.py
@@ -374,10 +374,10 @@
             return
         log.info("Draining: {} programs leave.", len(self._programs))
         await asyncio.gather(
-            *(self._drain_one(running) for running in list(self._programs.values()))
+            *(self._drain_program(running) for running in list(self._programs.values()))
         )
 
-    async def _drain_one(self, running: RunningProgram) -> None:
+    async def _drain_program(self, running: RunningProgram) -> None:
         if (
             await running.wait_flushed(self._limits.drain_timeout)
             and running.lost is None
--- a/sequoiaarch/home/model_calls.py
+++ b/sequoiaarch/home/model_calls.py
@@ -34,7 +34,7 @@
 
 
 class ModelCalls:
-    """Runs model calls of programs whose home is this sidecar."""
+    """Run model calls of programs whose home is this sidecar."""
 
     def __init__(self, *, context: HomeContext, dispatcher: Dispatcher) -> None:
         self._context = context
@@ -151,18 +151,18 @@
 
 def check_extension(running: RunningProgram, chat: Chat) -> list[ChatMessage]:
     """Return the messages after the history; fail if the history differs."""
-    known = running.message_count
-    if len(chat.messages) <= known and known:
+    length = running.message_count
+    if len(chat.messages) <= length and length:
         raise fail(
             ErrorKind.HISTORY_CONFLICT,
-            f"the history has {known} messages and must be followed by new ones; "
+            f"the history has {length} messages and must be followed by new ones; "
             f"the request has {len(chat.messages)}",
             field="messages",
         )
-    if digest_chain(chat.messages[:known]) != running.digest:
+    if digest_chain(chat.messages[:length]) != running.digest:
         raise fail(
             ErrorKind.HISTORY_CONFLICT,
-            f"the first {known} messages differ from the history of the program",
+            f"the first {length} messages differ from the history of the program",
             field="messages",
         )
-    return chat.messages[known:]
+    return chat.messages[length:]
--- a/sequoiaarch/home/program.py
+++ b/sequoiaarch/home/program.py
@@ -42,7 +42,7 @@
 
 
 class RunningProgram:
-    """Runs the calls of a program one after the other.
+    """Run the calls of a program one after the other.
 
     `state` is the latest state read from the log. Calls that finished since then are
     committed in the background, so that a slow log does not delay the next call.
@@ -165,9 +165,9 @@
         self._waiters.append(waiter)
         self._start_next()
         while not waiter.turn.done():
-            gap = self._running_call is None
+            was_idle = self._running_call is None
             done, _ = await asyncio.wait([waiter.turn], timeout=REORDER_TIMEOUT)
-            if not done and gap and self._running_call is None:
+            if not done and was_idle and self._running_call is None:
                 # Nothing is running, so an earlier call was never received.
                 self._waiters.remove(waiter)
                 raise fail(
@@ -234,8 +234,8 @@
             return reserved
 
     async def _reserve_block(self, wanted: int, timeout: float) -> None:
-        need = wanted - self.remaining
-        block = min(need * CALLS_PER_BLOCK, self._state.available)
+        shortfall = wanted - self.remaining
+        block = min(shortfall * CALLS_PER_BLOCK, self._state.available)
         if block <= 0:
             return
         record = Reserve(
--- a/sequoiaarch/home/runner.py
+++ b/sequoiaarch/home/runner.py
@@ -38,7 +38,7 @@
 
 
 class CallRunner:
-    """Admits calls to their programs, runs them and relays their answers."""
+    """Admit calls to their programs, run them and relay their answers."""
 
     def __init__(self, *, context: HomeContext) -> None:
         dispatcher = Dispatcher(context=context)
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -26,7 +26,7 @@
 
 
 class ServiceCalls:
-    """Runs service calls of programs whose home is this sidecar."""
+    """Run service calls of programs whose home is this sidecar."""
 
     def __init__(self, *, context: HomeContext, dispatcher: Dispatcher) -> None:
         self._context = context
@@ -102,9 +102,11 @@
     async def _log_intent(
         self, running: RunningProgram, request: CallRequest, target: TargetName
     ) -> IntentState | Failure:
-        """Return the intent to dispatch, or a failure if the outcome is unknown."""
+        """Return the intent to dispatch, or a failure if the outcome is unknown_outcome."""
         assert request.key is not None
-        unknown = Failure(kind=ErrorKind.OUTCOME_UNKNOWN, reason=UNKNOWN_OUTCOME_REASON)
+        unknown_outcome = Failure(
+            kind=ErrorKind.OUTCOME_UNKNOWN, reason=UNKNOWN_OUTCOME_REASON
+        )
         known = running.intent(request.key)
         if known is not None and known.outcome is not Outcome.NOT_RUN:
             own_intent = known.epoch == running.epoch and known.outcome is Outcome.OPEN
@@ -113,7 +115,7 @@
                 # the call; no other process may.
                 running.undispatched_keys.discard(request.key)
                 return known
-            return unknown
+            return unknown_outcome
         record = Intent(
             id=RecordId(new_id("intent")),
             program=running.id,
@@ -132,7 +134,7 @@
             raise FailureError(reply.before_dispatch())
         if reply.verdict.refusal is Refusal.KEY_USED:
             running.update_state(reply.state)
-            return unknown
+            return unknown_outcome
         if not reply.verdict.valid:
             failure = superseded_failure(running.id)
             running.mark_lost(failure)
--- a/sequoiaarch/records/types.py
+++ b/sequoiaarch/records/types.py
@@ -59,7 +59,10 @@
 
 
 class Claim(Record, frozen=True, kw_only=True, tag="claim"):
-    """Make `home` the home of a program; create the program if `replaces` is 0."""
+    """Make `home` the home of a program; create the program if `replaces` is 0.
+
+    `block` is reserved for the first calls of the new epoch.
+    """
 
     replaces: Epoch
     home: TargetName
@@ -68,7 +71,11 @@
 
 
 class Commit(Record, frozen=True, kw_only=True, tag="commit"):
-    """Append a finished call to the history of a program."""
+    """Append a finished call to the history of a program.
+
+    `prefix` and `digest` are the digests of the history before and after the call.
+    `used` is taken from the open block, then `block` is added to it.
+    """
 
     epoch: Epoch
     seq: Seq
--- a/sequoiaarch/shards/client.py
+++ b/sequoiaarch/shards/client.py
@@ -85,8 +85,8 @@
 class ShardClient:
     """Submit records to shard keepers and query them, or use the log if none answers.
 
-    Several keepers of a shard at once do no harm: all derive the same state from the
-    log, and a record that is appended twice takes effect once.
+    A shard may have several keepers at once: all derive the same state from the log,
+    and a record that is appended twice takes effect once.
     """
 
     def __init__(
@@ -167,15 +167,15 @@
         stream = self._local.stream(shard)
         if not await stream.wait_ready(KEEPER_TIMEOUT):
             return _unread_failure(shard)
-        found = [stream.state(program) for program in programs]
-        return [state for state in found if state is not None]
+        states = [stream.state(program) for program in programs]
+        return [state for state in states if state is not None]
 
     async def state(self, program: ProgramId) -> ProgramState | None | Failure:
         """Return the state of a program, or None if it is unknown."""
-        found = await self.states(self.shard_of(program), [program])
-        if isinstance(found, Failure):
-            return found
-        return found[0] if found else None
+        states = await self.states(self.shard_of(program), [program])
+        if isinstance(states, Failure):
+            return states
+        return states[0] if states else None
 
     async def commits(
         self, program: ProgramId, after: Seq = BEFORE_FIRST
@@ -199,7 +199,7 @@
     ) -> list[Commit] | Failure:
         """Return the commits of a program as read by this process.
 
-        Waits until the shard is read, as the history would seem empty before.
+        Wait until the shard is read; before that, the history would seem empty.
         """
         stream = self._local.stream(shard)
         if not await stream.wait_ready(KEEPER_TIMEOUT):
@@ -215,7 +215,7 @@
 
 
 def _is_final(failure: Failure) -> bool:
-    """Return whether the keeper answered itself, so that no other is asked."""
+    """Return whether the keeper itself reported the failure, so no other is asked."""
     return failure.kind is ErrorKind.LOG_UNAVAILABLE
 
 
--- a/sequoiaarch/shards/keeper.py
+++ b/sequoiaarch/shards/keeper.py
@@ -1,8 +1,8 @@
 """Serve a shard to homes and gateways, and keep its records within retention.
 
 The keeper of a shard batches appends, answers queries, and appends a snapshot of a
-program before the log trims its records. It is no leader: every reader derives the same
-state from the log.
+program before the log trims its records. It is not a leader: every reader derives the
+same state from the log.
 """
 
 from __future__ import annotations
@@ -114,7 +114,7 @@
         end = stream.view.next_offset
         if oldest < end - self._limits.renew_after:
             return True
-        # Renews records in the oldest quarter of the log once it has been trimmed.
+        # Renew records in the oldest quarter of the log once it has been trimmed.
         first = stream.first_offset
         return first > 0 and oldest < first + (end - first) // 4
 
--- a/sequoiaarch/shards/stream.py
+++ b/sequoiaarch/shards/stream.py
@@ -158,7 +158,7 @@
         state = self._view.state(program)
         if state is None:
             return []
-        found: dict[Seq, Commit] = {}
+        commits_by_seq: dict[Seq, Commit] = {}
         for offset in state.entries:
             page = await self._log.read(self._stream, offset, limit=1, wait=0.0)
             if isinstance(page, Failure):
@@ -168,8 +168,8 @@
             record = decode_record(page.records[0])
             for commit in _commits_in(record):
                 if commit.program == program:
-                    found[commit.seq] = commit
-        return [found[seq] for seq in sorted(found) if seq > after]
+                    commits_by_seq[commit.seq] = commit
+        return [commits_by_seq[seq] for seq in sorted(commits_by_seq) if seq > after]
 
     async def _read_loop(self) -> None:
         backoff = MIN_BACKOFF
--- a/sequoiaarch/sidecar/__init__.py
+++ b/sequoiaarch/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Sidecar: controls all access to one target, an engine or a service."""
+"""Control all access to one target, which is an engine or a service."""
--- a/sequoiaarch/sidecar/executor.py
+++ b/sequoiaarch/sidecar/executor.py
@@ -1,4 +1,4 @@
-"""Runs call attempts at the target, each at most once."""
+"""Run call attempts at the target, each at most once."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class Executor:
-    """Queues attempts for a slot of the target and runs them."""
+    """Queue attempts for a slot of the target and run them."""
 
     def __init__(
         self,
--- a/sequoiaarch/sidecar/prefix_cache.py
+++ b/sequoiaarch/sidecar/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Manages the prefix cache of the engine at the target."""
+"""Manage the prefix cache of the engine at the target."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 log = logbook.Logger("memory")
 
 SMOOTHING_FACTOR = 0.2  # weight of the newest program in the average growth
-MIN_UNUSED_SECONDS = 5.0  # before a prefix may be judged stale
+MIN_UNUSED_SECONDS = 5.0  # before a prefix may be considered stale
 
 
 class PrefixCacheManager:
-    """Exports or drops prefixes to make room, and frees those of ended programs.
+    """Export or drop prefixes to make room, and free those of ended programs.
 
     The prefix table is only an estimate: it misses evictions by the engine and starts
     empty when the sidecar restarts. It is therefore reconciled with the engine's own
--- a/sequoiaarch/sidecar/queue.py
+++ b/sequoiaarch/sidecar/queue.py
@@ -30,7 +30,7 @@
 
 
 class StartRate:
-    """Measures the rate at which new programs start at the target."""
+    """Measure the rate at which new programs start at the target."""
 
     def __init__(self) -> None:
         self._starts: deque[float] = deque(maxlen=MAX_RECENT_STARTS)
@@ -52,7 +52,7 @@
 
 
 class TargetQueue:
-    """Grants the slots of the target to waiting calls in order of rank."""
+    """Grant the slots of the target to waiting calls in order of rank."""
 
     def __init__(
         self,
--- a/sequoiaarch/sidecar/sidecar.py
+++ b/sequoiaarch/sidecar/sidecar.py
@@ -1,4 +1,4 @@
-"""Assembles a sidecar from its components and serves requests of its peers."""
+"""Assemble a sidecar from its components and serve requests of its peers."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 class Sidecar:
-    """Queues and runs the calls of one target, hosts programs and keeps shards."""
+    """Queue and run the calls of one target, host programs and keep shards."""
 
     def __init__(self, *, core: Core, target: TargetName) -> None:
         self._core = core
--- a/sequoiaarch/tests/daemon/process_tests.py
+++ b/sequoiaarch/tests/daemon/process_tests.py
@@ -69,9 +69,9 @@
 
     def setUp(self) -> None:
         """Start the processes."""
-        self.fleet = Cluster(deployment=small_deployment())
-        self.addCleanup(self.fleet.stop)
-        self.fleet.start()
+        self.cluster = Cluster(deployment=small_deployment())
+        self.addCleanup(self.cluster.stop)
+        self.cluster.start()
 
     def test_samples_and_commands(self) -> None:
         """Sample programs run, and operator commands show what they did."""
@@ -80,11 +80,11 @@
             script = script.model_copy(update={"model": MODEL})
             lines: list[str] = []
             runner = ScriptRunner(
-                client=self.fleet.caller(), script=script, write_line=lines.append
+                client=self.cluster.caller(), script=script, write_line=lines.append
             )
             program = runner.run()
             path = f"/v1/admin/traces/{runner.trace_id}"
-            tree = self.fleet.operator().request("GET", path)["tree"]
+            tree = self.cluster.operator().request("GET", path)["tree"]
             self.assertTrue(any("sidecar tools-1" in line for line in tree))
             explained = self.command("program", "explain", f"bench:{program}")
             self.assertIn("placement", explained)
@@ -96,7 +96,7 @@
 
     def command(self, *arguments: str) -> str:
         """Run a command of the CLI and return its output."""
-        url = self.fleet.gateway_urls()[0]
+        url = self.cluster.gateway_urls()[0]
         result = CliRunner().invoke(
             cli, ["--url", url, "--key", OPERATOR_KEY, *arguments]
         )
@@ -113,12 +113,12 @@
 
     def stop_under_load(self, stopped: str, gateways: int) -> list[str]:
         """Send SIGTERM to a process under load; return the errors of callers."""
-        fleet = Cluster(deployment=small_deployment(gateways))
-        self.addCleanup(fleet.stop)
-        fleet.start()
+        cluster = Cluster(deployment=small_deployment(gateways))
+        self.addCleanup(cluster.stop)
+        cluster.start()
         errors: list[str] = []
         load_started = threading.Barrier(PROGRAMS_UNDER_LOAD + 1)
-        urls = fleet.gateway_urls()
+        urls = cluster.gateway_urls()
         threads = [
             threading.Thread(
                 target=hold_conversation,
@@ -130,12 +130,12 @@
         for thread in threads:
             thread.start()
         load_started.wait(60)
-        fleet.processes[stopped].signal(signal.SIGTERM)
-        exit_code = fleet.processes[stopped].wait()
+        cluster.processes[stopped].signal(signal.SIGTERM)
+        exit_code = cluster.processes[stopped].wait()
         for thread in threads:
             thread.join(60)
-        self.assertEqual(exit_code, 0, fleet.log_text(stopped))
-        self.assertNotIn("work under way", fleet.log_text(stopped))
+        self.assertEqual(exit_code, 0, cluster.log_text(stopped))
+        self.assertNotIn("work under way", cluster.log_text(stopped))
         return errors
 
     def test_stop_gateway(self) -> None:
@@ -179,7 +179,7 @@
 ) -> str | None:
     """Return one answer, or None if it failed or every gateway refused the call.
 
-    A call that was certainly not run is no error and is retried at other gateways.
+    A call that was certainly not run is retried at other gateways, without an error.
     """
     parts: list[str] = []
     headers = {"X-Program-Id": f"stop-{number}"}
--- a/sequoiaarch/tests/gateway/bridge_tests.py
+++ b/sequoiaarch/tests/gateway/bridge_tests.py
@@ -30,7 +30,7 @@
     async def run(
         self, call: CallRequest, put: Callable[[CallEvent], None], *, may_exist: bool
     ) -> None:
-        """Receive the call."""
+        """Record that the call was received; raise an error if `failing`."""
         self.call_received.set()
         if self._failing:
             raise OSError("the context was closed")
--- a/sequoiaarch/tests/home/__init__.py
+++ b/sequoiaarch/tests/home/__init__.py
@@ -1,1 +1,1 @@
-"""Test package home."""
+"""Tests of running the calls of programs."""
--- a/sequoiaarch/tests/records/__init__.py
+++ b/sequoiaarch/tests/records/__init__.py
@@ -1,1 +1,1 @@
-"""Test package records."""
+"""Tests of the records of shards."""
--- a/sequoiaarch/tests/records/acceptance_tests.py
+++ b/sequoiaarch/tests/records/acceptance_tests.py
@@ -51,7 +51,7 @@
         self.log: list[ShardRecord] = []
 
     def append(self, record: ShardRecord) -> Refusal:
-        """Append one record and return why it was refused, if it was."""
+        """Append one record and return its refusal, which is NONE if it is valid."""
         offset = Offset(len(self.log))
         self.log.append(record)
         return self.view.apply(offset, record).refusal
@@ -140,9 +140,9 @@
 
     def test_commit_of_an_old_epoch_is_rejected(self) -> None:
         """Reject a commit of a home that was replaced."""
-        old = self.writer.epoch()
-        self.writer.claim(replaces=old, home="b")
-        self.assertIs(self.writer.commit(1, epoch=old), Refusal.STALE_EPOCH)
+        old_epoch = self.writer.epoch()
+        self.writer.claim(replaces=old_epoch, home="b")
+        self.assertIs(self.writer.commit(1, epoch=old_epoch), Refusal.STALE_EPOCH)
         self.assertIs(self.writer.commit(1), Refusal.NONE)
 
     def test_commit_must_extend_the_history(self) -> None:
@@ -213,7 +213,7 @@
         self.assertIs(self.writer.intent("second"), Refusal.NONE)
 
     def test_sub_agent_returns_unspent_budget(self) -> None:
-        """Move budget to a sub-agent and return what is left when it ends."""
+        """Move budget to a sub-agent and return the unspent rest when it ends."""
         self.assertIs(self.writer.claim(CHILD, budget=40), Refusal.NO_SPAWN)
         spawn = Spawn(
             id=RecordId("s"),
--- a/sequoiaarch/tests/records/exploration_tests.py
+++ b/sequoiaarch/tests/records/exploration_tests.py
@@ -86,11 +86,11 @@
 
 def build_record(draft: RecordDraft) -> ShardRecord:
     """Return the record of a draft."""
-    name = RecordId(f"{draft.kind}-{draft.home}-{draft.epoch}-{draft.seq}")
+    record_id = RecordId(f"{draft.kind}-{draft.home}-{draft.epoch}-{draft.seq}")
     if draft.kind == "claim":
         spec = ProgramSpec(workspace=Workspace("alpha"), name="one", budget=BUDGET)
         return Claim(
-            id=name,
+            id=record_id,
             program=PROGRAM,
             replaces=Epoch(draft.epoch),
             home=TargetName(draft.home),
@@ -99,7 +99,7 @@
         )
     if draft.kind == "intent":
         return Intent(
-            id=name,
+            id=record_id,
             program=PROGRAM,
             epoch=Epoch(draft.epoch),
             key=KEY,
@@ -109,7 +109,7 @@
         )
     keyed = draft.kind == "result"
     return Commit(
-        id=name,
+        id=record_id,
         program=PROGRAM,
         epoch=Epoch(draft.epoch),
         seq=Seq(draft.seq),
@@ -151,21 +151,21 @@
 
 def successors(system: SystemState, make_view: ViewFactory) -> list[SystemState]:
     """Return every state that can follow a state."""
-    found = []
+    next_states = []
     for draft in system.in_flight:
-        found.extend(append_record(system, draft))
+        next_states.extend(append_record(system, draft))
     for draft in system.reply_lost:
         if len(system.log) < MAX_LOG_LENGTH:
-            found.append(
+            next_states.append(
                 system._replace(
                     log=(*system.log, draft), reply_lost=system.reply_lost - {draft}
                 )
             )
     for index, home in enumerate(HOMES):
         if system.read_offsets[index] < len(system.log):
-            found.append(read_log(system, index))
-        found.extend(home_steps(system, index, home, make_view))
-    return found
+            next_states.append(read_log(system, index))
+        next_states.extend(home_steps(system, index, home, make_view))
+    return next_states
 
 
 def append_record(system: SystemState, draft: RecordDraft) -> list[SystemState]:
@@ -199,7 +199,7 @@
         return []
     if state is None or state.home != home:
         return send_claim(system, home, state)
-    found = []
+    next_states = []
     epoch = state.epoch
     turn = state.seq + 1
     if turn > TURNS:
@@ -208,10 +208,12 @@
         return send(system, RecordDraft("commit", home, epoch, turn))
     intent = state.intents.get(KEY)
     if intent is None:
-        found += send(system, RecordDraft("intent", home, epoch))
+        next_states += send(system, RecordDraft("intent", home, epoch))
         if RecordDraft("intent", home, epoch) not in system.sent:
-            found.append(system._replace(denied_epochs=system.denied_epochs | {epoch}))
-        return found
+            next_states.append(
+                system._replace(denied_epochs=system.denied_epochs | {epoch})
+            )
+        return next_states
     if intent.outcome is Outcome.UNKNOWN:
         return send(system, RecordDraft("commit", home, epoch, turn))
     dispatch = Dispatch(home, epoch)
@@ -219,7 +221,7 @@
         return [system._replace(dispatched=system.dispatched | {dispatch})]
     if dispatch in system.dispatched:
         return send(system, RecordDraft("result", home, epoch, turn))
-    return found
+    return next_states
 
 
 def send(system: SystemState, draft: RecordDraft) -> list[SystemState]:
@@ -280,22 +282,22 @@
         logs = {system.log for system in reached}
         for log in logs:
             self.check_log(log)
-        # Checks that the bounds are large enough for all relevant cases.
+        # The bounds must be large enough for all relevant cases.
         self.assertGreater(len(reached), 100_000)
         self.assertTrue(any(system.dispatched for system in reached))
         self.assertTrue(any(system.denied_epochs for system in reached))
-        finals = [
+        final_states = [
             state for state, _ in (replay(log, ShardView) for log in logs) if state
         ]
-        self.assertTrue(any(state.seq == TURNS for state in finals))
+        self.assertTrue(any(state.seq == TURNS for state in final_states))
         unknown = [
             state
-            for state in finals
+            for state in final_states
             if KEY in state.intents and state.intents[KEY].outcome is Outcome.UNKNOWN
         ]
         self.assertTrue(unknown)
 
-    def test_exploration_finds_the_fault_of_a_view_without_epochs(self) -> None:
+    def test_exploration_detects_a_view_without_epoch_checks(self) -> None:
         """Find the double dispatch that a view without epoch checks allows.
 
         A home sends an intent and is paused; another takes over, logs an intent and
@@ -311,11 +313,15 @@
         state, valid = replay(log, ShardView)
         if state is None:
             return
-        counted = [draft for draft, counts in zip(log, valid, strict=True) if counts]
-        commits = [draft for draft in counted if draft.kind in ("commit", "result")]
+        valid_drafts = [
+            draft for draft, is_valid in zip(log, valid, strict=True) if is_valid
+        ]
+        commits = [
+            draft for draft in valid_drafts if draft.kind in ("commit", "result")
+        ]
         self.assertEqual(
             [draft.seq for draft in commits], list(range(1, state.seq + 1))
         )
         self.assertLessEqual(state.spent + state.open_block, BUDGET)
-        claims = [draft.epoch for draft in counted if draft.kind == "claim"]
+        claims = [draft.epoch for draft in valid_drafts if draft.kind == "claim"]
         self.assertEqual(len(set(claims)), len(claims))
--- a/sequoiaarch/tests/shards/__init__.py
+++ b/sequoiaarch/tests/shards/__init__.py
@@ -1,1 +1,1 @@
-"""Test package shards."""
+"""Tests of shards."""
--- a/sequoiaarch/tests/shards/retention_tests.py
+++ b/sequoiaarch/tests/shards/retention_tests.py
@@ -46,8 +46,8 @@
                 client=self.system.client(), program=f"filler-{count}"
             )
             filler.say("filler")
-            # This log retains a number of records: wait, so that a fast machine does
-            # not trim the program's records between two checks of a keeper.
+            # The log retains a fixed number of records. Wait, so that a fast machine
+            # does not trim the program's records between two checks of a keeper.
             wait_until(self.is_renewed, "the program is appended again in time")
 
     def is_renewed(self) -> bool:
--- a/sequoiaarch/tests/sidecar/__init__.py
+++ b/sequoiaarch/tests/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Test package sidecar."""
+"""Tests of the sidecar."""
