--- a/sequoiaarch/gateway/requests.py
+++ b/sequoiaarch/gateway/requests.py
@@ -130,7 +130,7 @@
         return self._caller(request).workspace or ANONYMOUS
 
     def admit(self, request: Request) -> Workspace:
-        """Count a call against the rate limit of its workspace; return the workspace."""
+        """Count a call against the limit of its workspace; return the workspace."""
         caller = self._caller(request)
         if caller.limit is not None:
             with self._lock:
--- a/sequoiaarch/home/service_calls.py
+++ b/sequoiaarch/home/service_calls.py
@@ -102,7 +102,7 @@
     async def _log_intent(
         self, running: RunningProgram, request: CallRequest, target: TargetName
     ) -> IntentState | Failure:
-        """Return the intent to dispatch, or a failure if the outcome is unknown_outcome."""
+        """Return the intent to dispatch, or a failure if the outcome is unknown."""
         assert request.key is not None
         unknown_outcome = Failure(
             kind=ErrorKind.OUTCOME_UNKNOWN, reason=UNKNOWN_OUTCOME_REASON
