--- a/sequoiaarch/daemon/base.py
+++ b/sequoiaarch/daemon/base.py
@@ -152,14 +152,14 @@
         ask_peers=fetch_peer_configs,
         metrics=metrics,
     )
-    local = LocalShards(
+    local_shards = LocalShards(
         log_service=platform.log,
         interval=settings.limits.append_interval,
         metrics=metrics,
     )
     shards = ShardClient(
         shards=settings.shards,
-        local=local,
+        local=local_shards,
         links=links,
         peers=membership.sidecar_addresses,
         own_target=own_target,
@@ -176,6 +176,6 @@
         catalogue=catalogue,
         config_follower=follower,
         membership=membership,
-        local_shards=local,
+        local_shards=local_shards,
         shards=shards,
     )
--- a/sequoiaarch/records/types.py
+++ b/sequoiaarch/records/types.py
@@ -61,7 +61,8 @@
 class Claim(Record, frozen=True, kw_only=True, tag="claim"):
     """Make `home` the home of a program; create the program if `replaces` is 0.
 
-    `block` is reserved for the first calls of the new epoch.
+    `block` is reserved for the first calls of the new epoch, as far as the budget
+    allows.
     """
 
     replaces: Epoch
@@ -74,7 +75,8 @@
     """Append a finished call to the history of a program.
 
     `prefix` and `digest` are the digests of the history before and after the call.
-    `used` is taken from the open block, then `block` is added to it.
+    `used` is taken from the open block; `block` is then added to it, as far as the
+    budget allows.
     """
 
     epoch: Epoch
@@ -92,7 +94,10 @@
 
 
 class Reserve(Record, frozen=True, kw_only=True, tag="reserve"):
-    """Reserve a block of the budget before its tokens are used."""
+    """Reserve a block of the budget before its tokens are used.
+
+    `number` is one more than that of the previous reservation.
+    """
 
     epoch: Epoch
     number: int
--- a/sequoiaarch/tests/gateway/app_tests.py
+++ b/sequoiaarch/tests/gateway/app_tests.py
@@ -153,7 +153,7 @@
         self.assertTrue(error.body["reason"])
         self.assertEqual(error.body["error"]["type"], kind)
 
-    def test_fields(self) -> None:
+    def test_invalid_fields(self) -> None:
         """The error names the invalid field of the body."""
         user = [{"role": "user", "content": "x"}]
         cases = [
@@ -172,7 +172,7 @@
                     field, f"{error.body.get('field')} {error.body['reason']}"
                 )
 
-    def test_headers(self) -> None:
+    def test_invalid_headers(self) -> None:
         """The error names the invalid header."""
         body = {"model": MODEL, "messages": [{"role": "user", "content": "x"}]}
         cases = [
