--- a/sequoiaarch/records/types.py
+++ b/sequoiaarch/records/types.py
@@ -59,7 +59,11 @@
 
 
 class Claim(Record, frozen=True, kw_only=True, tag="claim"):
-    """Make `home` the home of a program; create the program if `replaces` is 0."""
+    """Make `home` the home of a program; create the program if `replaces` is 0.
+
+    `block` is reserved for the first calls of the new epoch, as far as the budget
+    allows.
+    """
 
     replaces: Epoch
     home: TargetName
@@ -68,7 +72,12 @@
 
 
 class Commit(Record, frozen=True, kw_only=True, tag="commit"):
-    """Append a finished call to the history of a program."""
+    """Append a finished call to the history of a program.
+
+    `prefix` and `digest` are the digests of the history before and after the call.
+    `used` is taken from the open block; `block` is then added to it, as far as the
+    budget allows.
+    """
 
     epoch: Epoch
     seq: Seq
@@ -85,7 +94,10 @@
 
 
 class Reserve(Record, frozen=True, kw_only=True, tag="reserve"):
-    """Reserve a block of the budget before its tokens are used."""
+    """Reserve a block of the budget before its tokens are used.
+
+    `number` is one more than that of the previous reservation.
+    """
 
     epoch: Epoch
     number: int
