--- a/sequoiaarch/fleet/claims.py
+++ b/sequoiaarch/fleet/claims.py
@@ -19,7 +19,7 @@
 # Programs are hashed into this many slots, each with its own lenders.
 SLOTS = 512
 # A process lends only if it saw its claim and its registration in the store within
-# this time. Outlasts the short store outages that loans bridge. Seconds.
+# this time. Exceeds the short store outages that loans cover. Seconds.
 LENDING_LEASE = 60.0
 # Added to the lease and the longest retention before a claim expires, for programs
 # that resume late. Seconds.
@@ -160,7 +160,7 @@
 
 
 class ClaimExpiry:
-    """Decides which claims of ended processes can be removed.
+    """Decide which claims of ended processes can be removed.
 
     A claim expires when its process can no longer lend and no program that borrowed
     from it can resume. A process stops lending one lease after it last saw its own
--- a/sequoiaarch/fleet/delegate_calls.py
+++ b/sequoiaarch/fleet/delegate_calls.py
@@ -1,4 +1,4 @@
-"""Send requests to delegates, which acknowledge them before they work on them."""
+"""Send requests to delegates, which acknowledge them before handling them."""
 
 from __future__ import annotations
 
@@ -44,5 +44,5 @@
 
 
 def failure_reason(reply: Reply) -> str:
-    """Return why a request was not carried out, for logs."""
+    """Return why a request was not carried out, for log lines."""
     return reply.failure.reason if isinstance(reply, Failed) else str(reply)
--- a/sequoiaarch/fleet/delegated_turn.py
+++ b/sequoiaarch/fleet/delegated_turn.py
@@ -82,15 +82,15 @@
         self._used = 0
         self._covered = opened.covered
         self._ended = False
-        # Set once the end report to the delegate is on its way. The turn itself may
-        # continue in this process.
+        # Set once the end is reported to the delegate, separately or by a commit. The
+        # turn itself may continue in this process.
         self._end_reported = False
         self._fallback: LocalTurn | None = None
         self._index_write: asyncio.Future[Offset] | None = None
 
     @property
     def history(self) -> History | None:
-        """Return the history that the turn continues; None for a first turn."""
+        """Return the history that the turn continues; None if it starts a new one."""
         return self._opened.history
 
     @property
@@ -100,11 +100,11 @@
 
     @property
     def where(self) -> str:
-        """Return which process keeps the account, for logs."""
+        """Return which process keeps the account, for log lines."""
         if self._fallback is not None:
             return f"{self._fallback.where} after all"
-        part = "" if self._covered is None else f", {self._covered} held"
-        return f"at {self._host}{part}"
+        suffix = "" if self._covered is None else f", {self._covered} held"
+        return f"at {self._host}{suffix}"
 
     async def verdict(self) -> BudgetVerdict:
         """Wait until the turn is granted or refused."""
@@ -174,8 +174,8 @@
     async def _fall_back(self) -> LocalTurn | None:
         """Reserve the rest of the turn in this process, as its delegate is lost.
 
-        The grant of the old delegate may leave no room in a small budget until it is
-        released or written off. The stream waits for that instead of being cut.
+        The grant of the lost delegate may leave no room in a small budget until it is
+        released or expires. The stream waits for that instead of being cut off.
         """
         self._report_end()
         terms = self._start.terms
@@ -229,7 +229,7 @@
         self._report_end()
 
     def _report_end(self) -> None:
-        """Report to the delegate what was used of its grant, once."""
+        """Report the end and the used tokens to the delegate; idempotent."""
         if self._end_reported:
             return
         self._end_reported = True
--- a/sequoiaarch/fleet/delegates.py
+++ b/sequoiaarch/fleet/delegates.py
@@ -34,14 +34,14 @@
 
 log = logbook.Logger("delegates")
 
-# A late delegate needs one append to release a turn that continues elsewhere.
-# Seconds.
+# How long to retry while the budget is held: a late delegate needs one append to
+# release a turn that continues elsewhere. Seconds.
 HELD_RETRY_PERIOD = 0.4
 HELD_RETRY_INTERVAL = 0.1
 
 
 class DelegateSelector:
-    """Chooses the process that keeps a program's account, by rendezvous hashing.
+    """Choose the process that keeps a program's account, by rendezvous hashing.
 
     Turns of one program arrive at all gateways of a data centre. The delegate keeps
     the history and the grants in memory, so that the others need not read the log
@@ -75,7 +75,7 @@
 
 
 class DelegatedTurns:
-    """Opens turns through the delegate of their program, or locally without one."""
+    """Open turns through the delegate of their program, or locally without one."""
 
     def __init__(
         self,
@@ -91,7 +91,7 @@
         self._numbers = itertools.count(1)
 
     async def open(self, start: TurnStart) -> OpenTurn | TurnRefusal:
-        """Reserve a turn and load its history, or return why not."""
+        """Reserve a turn and load its history, or return why that is refused."""
         host = self._delegates.delegate_of(start.terms.program)
         if host is not None:
             opened = await self._open_at(host, start)
@@ -198,5 +198,5 @@
     # Where the delegate is uncertain, this process may still reach the store.
     if reply.lookup is LookupFailure.ABSENT:
         return reply.lookup
-    unsure = reply.verdict in (None, BudgetVerdict.UNCERTAIN)
-    return None if unsure else reply.verdict
+    uncertain = reply.verdict in (None, BudgetVerdict.UNCERTAIN)
+    return None if uncertain else reply.verdict
--- a/sequoiaarch/fleet/loan_service.py
+++ b/sequoiaarch/fleet/loan_service.py
@@ -24,10 +24,10 @@
 from .slot_claimer import SlotClaimer
 from .turn_server import failure_reply
 
-# Lenders answer from memory. Seconds.
+# Timeout of requests to lenders, which answer from memory. Seconds.
 ASK_TIMEOUT = 0.15
-# Retries settlements over short freezes and partitions: an unsettled loan counts in
-# full for the program's retention. Seconds.
+# How long settlements are retried, to outlast short freezes and partitions: an
+# unsettled loan counts in full for the program's retention. Seconds.
 SETTLE_RETRY_PERIOD = 30.0
 # Lenders of higher rank have too few tokens to be worth a request.
 MAX_LENDERS_ASKED = 2
@@ -58,7 +58,7 @@
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be used without asking for more."""
+        """Return the tokens that may be used without a request."""
         return self._tokens
 
     async def verdict(self) -> BudgetVerdict:
@@ -72,8 +72,8 @@
             # A request that fails yields 0, but a loan never shrinks: what was lent
             # may have been used already.
             self._tokens = max(self._tokens, increased)
-        # A waiting stream may outlast its turn. A settled loan has no lender any more
-        # and must not cover further tokens.
+        # A waiting stream may outlast its turn. A settled loan
+        # must not cover further tokens.
         return not self._closed and total <= self._tokens
 
     def record_usage(self, tokens: int) -> None:
@@ -88,7 +88,7 @@
 
 
 class LoanService:
-    """Lends budget tokens to other processes and borrows from them.
+    """Lend budget tokens to other processes and borrow from them.
 
     Programs can start and continue on loans while the store is unavailable and no
     grant can be written.
--- a/sequoiaarch/fleet/notifier.py
+++ b/sequoiaarch/fleet/notifier.py
@@ -18,7 +18,7 @@
 
 
 class Notifier:
-    """Sends requests as background tasks and keeps the tasks until they end."""
+    """Send requests as background tasks and keep the tasks until they end."""
 
     def __init__(self, *, timeout: float) -> None:
         self._timeout = timeout
--- a/sequoiaarch/fleet/peers.py
+++ b/sequoiaarch/fleet/peers.py
@@ -120,17 +120,17 @@
 
     async def register(self, keyed_log: KeyedLog, writer: WriterId) -> None:
         """Write this process's registration, retrying until the store accepts it."""
-        own = PeerRecord(
+        registration = PeerRecord(
             address=self._own_address, data_centre=self._data_centre, writer=writer
         )
-        record = KeyedRecord(key=self._own, value=msgspec.json.encode(own))
-        first = Writer(name=f"peer-{writer}", epoch=1, sequence=0)
+        record = KeyedRecord(key=self._own, value=msgspec.json.encode(registration))
+        log_writer = Writer(name=f"peer-{writer}", epoch=1, sequence=0)
         # The previous registration tells whether this process replaces a lost one.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FIRST_LIST_TIMEOUT):
                 await self._listed.wait()
         while True:
-            result = await keyed_log.append(PARTITION, [record], writer=first)
+            result = await keyed_log.append(PARTITION, [record], writer=log_writer)
             if not isinstance(result, Failure):
                 return
             await asyncio.sleep(REGISTER_RETRY_INTERVAL)
@@ -138,8 +138,8 @@
     async def unregister(self, keyed_log: KeyedLog, writer: str) -> None:
         """Remove this process's registration; a failure is only logged."""
         record = KeyedRecord(key=self._own, value=b"")
-        last = Writer(name=f"peer-{writer}", epoch=1, sequence=1)
-        result = await keyed_log.append(PARTITION, [record], writer=last)
+        log_writer = Writer(name=f"peer-{writer}", epoch=1, sequence=1)
+        result = await keyed_log.append(PARTITION, [record], writer=log_writer)
         if isinstance(result, Failure):
             log.warning("own registration was not removed: {}", result.reason)
 
@@ -233,7 +233,7 @@
 
 
 class PeerServer:
-    """Serves peers: relays store calls and passes other requests to `fallback`."""
+    """Serve peers: relay store calls and pass other requests to `fallback`."""
 
     def __init__(
         self,
--- a/sequoiaarch/fleet/quotas.py
+++ b/sequoiaarch/fleet/quotas.py
@@ -12,12 +12,12 @@
 from .peer_health import PeerHealth
 from .peers import Peers
 
-# Share owners answer from memory. Seconds.
+# Timeout of requests to share owners, which answer from memory. Seconds.
 ASK_TIMEOUT = 0.1
 
 
 class FleetQuotas:
-    """Takes rate-limit tokens from the owners of shares, the nearest first."""
+    """Take rate-limit tokens from the owners of shares, the nearest first."""
 
     def __init__(
         self,
@@ -40,20 +40,22 @@
         """Return the time until which the taken token is valid, or the refusal."""
         workspace = caller.workspace
         assert workspace is not None
-        held = self._token_cache.take(workspace)
-        if held is not None:
-            return held
+        cached_until = self._token_cache.take(workspace)
+        if cached_until is not None:
+            return cached_until
         wait = self._token_cache.refused(workspace, begins=begins)
         if wait is not None:
             return Refusal(wait=wait)
-        answers = []
+        grants = []
         for share, host in self._shares_nearest_first(workspace):
-            asked = self._token_cache.now()
+            asked_at = self._token_cache.now()
             tokens = await self._take_from(host, workspace, share, begins)
             if tokens.count:
-                return self._token_cache.put(workspace, tokens.count - 1, asked=asked)
-            answers.append(tokens)
-        refusal = combined_refusal(answers)
+                return self._token_cache.put(
+                    workspace, tokens.count - 1, asked=asked_at
+                )
+            grants.append(tokens)
+        refusal = combined_refusal(grants)
         if refusal.kept:
             self._token_cache.record_refusal(workspace, refusal.wait, begins=begins)
         return refusal
--- a/sequoiaarch/fleet/ranking.py
+++ b/sequoiaarch/fleet/ranking.py
@@ -31,7 +31,7 @@
 
 
 class SlotRanking:
-    """Caches the ranking of a data centre's hosts for each program slot.
+    """Cache the ranking of a data centre's hosts for each program slot.
 
     Every turn needs a ranking, which changes only when hosts start or stop.
     """
@@ -46,19 +46,19 @@
         self._own = own
         self._hosts = hosts
         self._version = version
-        self._seen: int | None = None
-        self._orders: dict[int, list[HostName]] = {}
+        self._ranked_version: int | None = None
+        self._rankings: dict[int, list[HostName]] = {}
 
     def hosts_for(self, slot: int) -> list[HostName]:
         """Return this host and its neighbours, ranked for a slot."""
         version = self._version()
-        if version != self._seen:
-            self._orders.clear()
-            self._seen = version
-        ranking = self._orders.get(slot)
+        if version != self._ranked_version:
+            self._rankings.clear()
+            self._ranked_version = version
+        ranking = self._rankings.get(slot)
         if ranking is None:
             name = slot_name(slot)
             hosts = [self._own, *self._hosts()]
             ranking = sorted(hosts, key=lambda host: score(name, host), reverse=True)
-            self._orders[slot] = ranking
+            self._rankings[slot] = ranking
         return ranking
--- a/sequoiaarch/fleet/registration_check.py
+++ b/sequoiaarch/fleet/registration_check.py
@@ -18,10 +18,10 @@
 
 
 class RegistrationCheck:
-    """Asks all registered hosts whether they see this host's registration.
+    """Ask all registered hosts whether they see this host's registration.
 
     A host with an older view may still serve a share that is now owned by this
-    host. If one does not answer, this host waits until the lease of such a view has
+    host. If a host does not answer, this host waits until the lease of such a view has
     expired.
     """
 
--- a/sequoiaarch/fleet/slot_claimer.py
+++ b/sequoiaarch/fleet/slot_claimer.py
@@ -31,8 +31,8 @@
 log = logbook.Logger("lenders")
 
 PARTITION = Partition(topic=TOPIC, number=0)
-# Leaves processes that start together time to register, so that they share the
-# slots. Seconds.
+# Delay of the first claims: processes that start together register meanwhile, so that
+# they share the slots. Seconds.
 FIRST_CLAIM_DELAY = 3.0
 CLAIM_INTERVAL = 2.0
 RETRY_INTERVAL = 0.5
@@ -42,7 +42,7 @@
 
 
 class SlotClaimer:
-    """Maintains this process's slot claims in the log.
+    """Maintain this process's slot claims in the log.
 
     The order of the claims in the log gives the rank of a process among the lenders
     of a slot. Without a claim a process lends nothing.
@@ -122,11 +122,11 @@
         """Return the unclaimed slots that rendezvous hashing assigns to this host."""
         if self._stopped or not self._peers.own_registration_is(self._writer):
             return []
-        new = set(self._claims.unclaimed(self._registered))
+        unclaimed = set(self._claims.unclaimed(self._registered))
         return [
             slot
             for slot in self._claims.unclaimed(self._presumed_live)
-            if self._is_assigned_here(slot, near=slot not in new)
+            if self._is_assigned_here(slot, near=slot not in unclaimed)
         ]
 
     def _is_assigned_here(self, slot: int, *, near: bool) -> bool:
--- a/sequoiaarch/fleet/target_reports.py
+++ b/sequoiaarch/fleet/target_reports.py
@@ -11,12 +11,12 @@
 from .peers import Peers
 from .ranking import rank_of
 
-# A later report would be out of date. Seconds.
+# Timeout of a report; a later one would be out of date. Seconds.
 REPORT_TIMEOUT = 0.5
 
 
 class TargetReports:
-    """Broadcasts target health to the neighbours and applies their reports.
+    """Broadcast target health to the neighbours and apply their reports.
 
     Hosts of one data centre choose the same targets first. A change is reported once
     to each neighbour, so traffic grows with the number of hosts and not with the
--- a/sequoiaarch/fleet/turn_server.py
+++ b/sequoiaarch/fleet/turn_server.py
@@ -31,17 +31,17 @@
 
 log = logbook.Logger("delegates")
 
-# Sends progress replies more often than the gateway's timeout, as a commit may wait
-# for the store for longer. Seconds.
+# Interval of progress replies, below the gateway's timeout, as a commit may wait for
+# the store for longer. Seconds.
 PROGRESS_INTERVAL = 0.5
 CALLER_LEFT = "the caller left"
 NOT_OPEN = "the turn is not open here"
-# Bounds the memory of ends that arrived before their beginning.
+# Maximum number of remembered ends that arrived before their opening.
 MAX_EARLY_ENDS = 1000
 
 
 class TurnServer:
-    """Keeps the budget accounts of turns that run at other gateways."""
+    """Keep the budget accounts of turns that run at other gateways."""
 
     def __init__(self, *, local: LocalTurns, ledger: Ledger) -> None:
         self._local = local
@@ -63,7 +63,7 @@
             return Accepted()
         work = asyncio.create_task(self._handle(request))
         try:
-            # The first one acknowledges the request; later ones report progress.
+            # The first reply acknowledges the request; later ones report progress.
             while not work.done():
                 await send(Accepted())
                 await asyncio.wait([work], timeout=PROGRESS_INTERVAL)
--- a/sequoiaarch/ledger/account.py
+++ b/sequoiaarch/ledger/account.py
@@ -95,7 +95,7 @@
         """Return whether the grant covers an allocation and all before it.
 
         Later allocations count with their confirmed part, which may be used at any time
-        without asking again.
+        without a further request.
         """
         total = self.used
         before = True
--- a/sequoiaarch/ledger/appender.py
+++ b/sequoiaarch/ledger/appender.py
@@ -16,8 +16,8 @@
 log = logbook.Logger("ledger")
 
 # Longest delay of records that no caller waits for; they go out with the next urgent
-# record. Less than the second after which a budget may count an ended turn in full.
-# Seconds.
+# record. Stays below `RELEASE_TIMEOUT` of the budgets, within which unused grants must
+# be released. Seconds.
 MAX_BATCH_DELAY = 0.4
 MIN_RETRY_DELAY = 0.05
 MAX_RETRY_DELAY = 0.5
--- a/sequoiaarch/ledger/budgets.py
+++ b/sequoiaarch/ledger/budgets.py
@@ -199,7 +199,7 @@
         if account is None:
             account = Account(terms=terms, partition=partition)
             self._accounts[terms.program] = account
-            # The account was dropped and its program came back: count its whole earlier
+            # The account was dropped and its program resumed: count its whole earlier
             # grant as used.
             account.used = partition.state.granted(terms.program, self._writer)
             account.granted = account.requested = account.used
@@ -275,8 +275,8 @@
 
     def _may_start_early(self, account: Account, terms: TurnTerms) -> bool:
         """Return whether a turn may start before its grant is known."""
-        after = self._wanted_by_others(account) + account.wanted + terms.most
-        return after <= terms.budget * EARLY_START_FRACTION
+        total = self._wanted_by_others(account) + account.wanted + terms.most
+        return total <= terms.budget * EARLY_START_FRACTION
 
     def _may_reserve_fully(self, account: Account, terms: TurnTerms) -> bool:
         """Return whether a turn may reserve its maximum when it starts."""
@@ -310,14 +310,14 @@
     async def _raise_after(
         self, account: Account, before: asyncio.Task[bool] | None
     ) -> bool:
-        """Raise the grant once `before` is done; return False if the result is open."""
-        own = asyncio.current_task()
+        """Raise the grant after `before`; return False if the result stays unknown."""
+        this_task = asyncio.current_task()
         try:
             if before is not None:
                 await asyncio.wait([before])
             known = await self._raise_now(account)
         finally:
-            if account.raise_task is own:
+            if account.raise_task is this_task:
                 account.raise_task = None
         # Turns that ended in the meantime have not released their rest.
         if (
@@ -349,11 +349,11 @@
         return True
 
     def _update_ceiling(self, account: Account) -> None:
-        """Store what the other grants left free at the newest grant's position."""
+        """Store what other writers left free at the position of the newest grant."""
         state = account.partition.state
         since = state.now() - RELEASE_TIMEOUT
-        beside = state.wanted_by_others_at_grant(account.program, self._writer, since)
-        account.ceiling = None if beside is None else account.limit - beside
+        others = state.wanted_by_others_at_grant(account.program, self._writer, since)
+        account.ceiling = None if others is None else account.limit - others
 
     def _write(
         self, account: Account, tokens: int, *, urgent: bool
--- a/sequoiaarch/ledger/holds.py
+++ b/sequoiaarch/ledger/holds.py
@@ -24,7 +24,7 @@
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be used without asking; None for all."""
+        """Return the tokens that may be used without a request; None for all."""
 
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn may begin."""
--- a/sequoiaarch/ledger/ledger.py
+++ b/sequoiaarch/ledger/ledger.py
@@ -34,7 +34,7 @@
 
 
 class Ledger:
-    """Store the turns of all programs in the shared log, without owners.
+    """Store the turns of all programs in the shared log; no process owns a program.
 
     Any process may write any turn; conflicts are decided by the order of the records.
     Nothing has to be taken over when a process dies, hangs or is cut off. A process
@@ -62,7 +62,7 @@
 
     @property
     def turns(self) -> int:
-        """Return the number of turns held in memory."""
+        """Return the number of turns in memory."""
         return sum(partition.state.turns for partition in self._partitions.values())
 
     async def may_know_program(self, program: ProgramId) -> bool:
@@ -82,18 +82,20 @@
         The turn may have been committed by another process a moment ago, so its absence
         is reported only after a read that began now and reached the end of the log.
         """
-        found = await self._history_in(program, turn)
-        if isinstance(found, bytes):
-            return History(prompt=found, own=True)
-        if found is LookupFailure.UNCERTAIN:
-            return found
+        result = await self._history_in(program, turn)
+        if isinstance(result, bytes):
+            return History(prompt=result, own=True)
+        if result is LookupFailure.UNCERTAIN:
+            return result
         owner = await self._index.find(turn)
         if isinstance(owner, Failure):
             return LookupFailure.UNCERTAIN
         if owner is None or owner == program:
             return LookupFailure.ABSENT
-        found = await self._history_in(owner, turn)
-        return History(prompt=found, own=False) if isinstance(found, bytes) else found
+        result = await self._history_in(owner, turn)
+        return (
+            History(prompt=result, own=False) if isinstance(result, bytes) else result
+        )
 
     async def reserve(self, terms: TurnTerms) -> Reservation | BudgetVerdict:
         """Reserve the maximum that a turn may use, or return why that is refused."""
@@ -196,13 +198,13 @@
         self, program: ProgramId, turn: TurnId
     ) -> bytes | LookupFailure:
         partition = self.partition(program)
-        found = partition.state.history(turn)
-        if found is not None:
-            return found
+        prompt = partition.state.history(turn)
+        if prompt is not None:
+            return prompt
         complete = await partition.sync()
-        found = partition.state.history(turn)
-        if found is not None:
-            return found
+        prompt = partition.state.history(turn)
+        if prompt is not None:
+            return prompt
         # A known turn whose earlier turns are incomplete is not absent.
         if complete and not partition.state.has_turn(turn):
             return LookupFailure.ABSENT
--- a/sequoiaarch/ledger/partition.py
+++ b/sequoiaarch/ledger/partition.py
@@ -50,7 +50,7 @@
 
     @property
     def unavailable(self) -> bool:
-        """Return whether the store counts as down, as appends keep failing."""
+        """Return whether the store counts as unavailable, as appends keep failing."""
         return self._appender.unavailable
 
     @property
--- a/sequoiaarch/ledger/reservation.py
+++ b/sequoiaarch/ledger/reservation.py
@@ -81,7 +81,7 @@
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be used without asking; None for all."""
+        """Return the tokens that may be used without a request; None for all."""
         # A closed reservation covers nothing more, as its rest may be granted to
         # others.
         if self._closed:
--- a/sequoiaarch/ledger/sweeper.py
+++ b/sequoiaarch/ledger/sweeper.py
@@ -96,8 +96,8 @@
         if not keys:
             return 0
         records = [KeyedRecord(key=key, value=b"") for key in keys]
-        done = await self._log.append_at(partition, records, end=newest.resume)
-        if done is not True:
+        removed = await self._log.append_at(partition, records, end=newest.resume)
+        if removed is not True:
             return 0
         log.info("removed {} records of ended programs from {}", len(keys), partition)
         return len(keys)
--- a/sequoiaarch/ledger/turns.py
+++ b/sequoiaarch/ledger/turns.py
@@ -45,7 +45,7 @@
 
     @property
     def where(self) -> str:
-        """Return which process keeps the account, for the log."""
+        """Return which process keeps the account, for log lines."""
 
     async def verdict(self) -> BudgetVerdict:
         """Wait until it is known whether the turn is granted."""
@@ -54,7 +54,7 @@
         """Start to write the index record of the turn."""
 
     def covers(self, tokens: int) -> bool:
-        """Return whether `tokens` more may be sent to the caller without asking."""
+        """Return whether `tokens` more may be sent without a further request."""
 
     async def cover(self, tokens: int) -> bool:
         """Request `tokens` more; return whether they may be sent to the caller."""
@@ -112,7 +112,7 @@
 
     @property
     def where(self) -> str:
-        """Return which process keeps the account, for the log."""
+        """Return which process keeps the account, for log lines."""
         return "here" if self._hold.from_log else f"here, {self.covered} lent"
 
     @property
@@ -122,7 +122,7 @@
 
     @property
     def covered(self) -> int | None:
-        """Return the tokens that may be used without asking; None for all."""
+        """Return the tokens that may be used without a request; None for all."""
         covered = self._hold.covered
         return None if covered is None else self._used_before + covered
 
@@ -142,7 +142,7 @@
         return BudgetVerdict.FITS if self._replace_hold(loan) else verdict
 
     def covers(self, tokens: int) -> bool:
-        """Return whether `tokens` more may be sent to the caller without asking."""
+        """Return whether `tokens` more may be sent without a further request."""
         return self.covered is None or self._used + tokens <= self.covered
 
     async def cover(self, tokens: int) -> bool:
@@ -245,10 +245,10 @@
         """
         history: History | None = None
         if start.kept and start.previous is not None:
-            found = await self._ledger.history(start.terms.program, start.previous)
-            if isinstance(found, LookupFailure):
-                return found
-            history = found
+            result = await self._ledger.history(start.terms.program, start.previous)
+            if isinstance(result, LookupFailure):
+                return result
+            history = result
         return await self.reserve(start, history)
 
     async def reserve(
--- a/sequoiaarch/membership/view.py
+++ b/sequoiaarch/membership/view.py
@@ -26,7 +26,7 @@
 
 
 class Membership:
-    """Tracks which targets are live, leaving, silent or draining.
+    """Track which targets are live, leaving, silent or draining.
 
     The host list lags, so a target is also avoided when its sidecar is silent or
     reports that it drains. Such a target is probed until it answers and takes work
@@ -163,12 +163,12 @@
             await asyncio.sleep(LIST_INTERVAL)
 
     def _update_hosts(self, hosts: dict[HostName, HostState]) -> None:
-        before = self._hosts or {}
-        for host in sorted(before.keys() | hosts.keys()):
-            if before and before.get(host) is not hosts.get(host):
+        previous = self._hosts or {}
+        for host in sorted(previous.keys() | hosts.keys()):
+            if previous and previous.get(host) is not hosts.get(host):
                 state = hosts.get(host)
-                text = state.value if state else "gone"
-                log.info("Host {} is {}.", host, text)
+                description = state.value if state else "gone"
+                log.info("Host {} is {}.", host, description)
         self._hosts = hosts
 
     def close(self) -> None:
