--- a/sequoiaarch/tests/fleet/delegates_tests.py
+++ b/sequoiaarch/tests/fleet/delegates_tests.py
@@ -96,7 +96,7 @@
 
 
 class FailingStoreClient:
-    """Store caller that fails every call."""
+    """Store client that fails every call."""
 
     async def call(self, call: StoreCall) -> StoreReply | Failure:
         """Return a failure."""
@@ -140,7 +140,7 @@
 
 
 class DelegatesTestCase(unittest.IsolatedAsyncioTestCase):
-    """Runs two processes of one data centre over real sockets."""
+    """Run two processes of one data centre over real sockets."""
 
     async def asyncSetUp(self) -> None:
         """Start the delegate of the program and another gateway."""
@@ -206,13 +206,13 @@
             while self.delegate.turn_server.open_turns:
                 await asyncio.sleep(0.01)
 
-    def delay_cover_requests(self, end: asyncio.Event) -> None:
+    def delay_cover_requests(self, release: asyncio.Event) -> None:
         """Delay requests for more tokens at the delegate until an event is set."""
         original_handler = self.delegate.turn_server.answer
 
         async def delayed(request: Request, send: Send) -> Reply:
             if isinstance(request, CoverTurnRequest):
-                await end.wait()
+                await release.wait()
             return await original_handler(request, send)
 
         self.set_delegate_handler(delayed)
@@ -233,9 +233,9 @@
         waiting = asyncio.Event()
         verdict = LocalTurn.verdict
 
-        async def recorded_verdict(taken: LocalTurn) -> BudgetVerdict:
+        async def recorded_verdict(local_turn: LocalTurn) -> BudgetVerdict:
             waiting.set()
-            return await verdict(taken)
+            return await verdict(local_turn)
 
         with mock.patch.object(LocalTurn, "verdict", recorded_verdict):
             pending = asyncio.create_task(turn.cover(10))
@@ -448,9 +448,9 @@
         turn.close()
 
     async def test_delegate_lost_with_small_budget(self) -> None:
-        """Wait for a lost delegate's claim to expire instead of cutting the stream.
+        """Wait for a lost delegate's grant to expire instead of cutting off the stream.
 
-        The budget has no room for that claim and the same reservation here.
+        The budget has no room for that grant and the same reservation here.
         """
         turn = await self.opened(self.other, start("t1", budget=MAX_TOKENS + 40))
         turn.record_usage(30)
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -151,23 +151,23 @@
                 apply=self.claims.apply,
             ),
         ]
-        parts = [one.follow() for one in followers]
-        parts.append(self.peers.register(self.client, self.writer))
-        parts.append(self.claimer.run(self.client, lambda: RETENTION))
-        parts.append(self.server.run())
-        return [asyncio.create_task(part) for part in parts]
+        coroutines = [follower.follow() for follower in followers]
+        coroutines.append(self.peers.register(self.client, self.writer))
+        coroutines.append(self.claimer.run(self.client, lambda: RETENTION))
+        coroutines.append(self.server.run())
+        return [asyncio.create_task(coroutine) for coroutine in coroutines]
 
     @property
     def rank(self) -> int | None:
         """Return this process's rank for the program; None without a claim."""
-        for lending in self.claims.lenders_of(slot_of(PROGRAM)):
-            if lending.writer == self.writer:
-                return lending.rank
+        for lender in self.claims.lenders_of(slot_of(PROGRAM)):
+            if lender.writer == self.writer:
+                return lender.rank
         return None
 
 
 class UnreliableLender:
-    """Makes a lender's messages late or lost."""
+    """Make a lender's messages late or lost."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
@@ -408,12 +408,12 @@
         """
         self.kill(str(self.lender.name))
         self.lender.server.close()
-        left = [one for one in self.processes if one is not self.lender]
-        for process in left:
+        survivors = [peer for peer in self.processes if peer is not self.lender]
+        for process in survivors:
             for _ in range(GONE_FAILURES):
                 process.peer_health._backoff_until.clear()
                 process.peer_health.request_failed(self.lender.name, "no reply")
-        await self.wait_until(lambda: any(one.rank == 1 for one in left))
+        await self.wait_until(lambda: any(peer.rank == 1 for peer in survivors))
         await self.wait_until(
             lambda: len(self.other.claims.lenders_of(slot_of(PROGRAM))) == 2
         )
@@ -482,11 +482,11 @@
             process.client.faults.down = False
         await self.lender.claimer.stop(self.lender.client)
         await self.lender.peers.unregister(self.lender.client, self.lender.writer)
-        left = [one for one in self.processes if one is not self.lender]
-        await self.wait_until(lambda: any(one.rank == 0 for one in left))
+        survivors = [peer for peer in self.processes if peer is not self.lender]
+        await self.wait_until(lambda: any(peer.rank == 0 for peer in survivors))
         await self.wait_until(lambda: self._knows_lender(self.other))
-        follower = next(one for one in left if one.rank == 0)
-        self.assertEqual(follower.book.available(PROGRAM, BUDGET, 0), 275)
+        successor = next(peer for peer in survivors if peer.rank == 0)
+        self.assertEqual(successor.book.available(PROGRAM, BUDGET, 0), 275)
         refused = await self.lender.turns.open(start("turn-2"))
         assert isinstance(refused, LocalTurn)
         self.assertIsNone(refused.covered)
@@ -632,7 +632,9 @@
         self.kill(str(self.other.name))
         self.other.server.close()
         third = next(
-            one for one in self.processes if one not in (self.lender, self.other)
+            process
+            for process in self.processes
+            if process not in (self.lender, self.other)
         )
         turn = await self.open_on_loan(third, "turn-2", most=75)
         turn.record_usage(75)
@@ -656,8 +658,8 @@
         clock = mock.Mock(return_value=0.0)
         for process in self.processes:
             process.claimer.expiry = ClaimExpiry(clock=clock)
-        lender = next(one for one in self.processes if one.rank is not None)
-        other = next(one for one in self.processes if one.rank is None)
+        lender = next(peer for peer in self.processes if peer.rank is not None)
+        other = next(peer for peer in self.processes if peer.rank is None)
         self.assertEqual(lender.rank, 2)
         self.assertEqual(lender.book.available(PROGRAM, BUDGET, 2), 23)
         await asyncio.sleep(0.3)
@@ -698,7 +700,9 @@
 
     def _knows_live_lender(self, process: Process) -> bool:
         lenders = process.claims.lenders_of(slot_of(PROGRAM))
-        return any(process.claimer.host(one.writer) is not None for one in lenders)
+        return any(
+            process.claimer.host(lender.writer) is not None for lender in lenders
+        )
 
     async def test_lender_continues_exhausted_log(self) -> None:
         """Lend the rest of a budget when the log has granted its own part.
--- a/sequoiaarch/tests/fleet/quotas_tests.py
+++ b/sequoiaarch/tests/fleet/quotas_tests.py
@@ -155,7 +155,7 @@
         self.assertIsInstance(await host.take(), float)
 
     async def test_no_owner_answers(self) -> None:
-        """Refuse with an unknown limit if no owner answers."""
+        """Refuse because the limit is unknown if no owner answers."""
         for host in self.hosts:
             host.server.close()
         requester = next(other for other in self.hosts if other not in self.owners())
--- a/sequoiaarch/tests/fleet/registration_check_tests.py
+++ b/sequoiaarch/tests/fleet/registration_check_tests.py
@@ -51,7 +51,7 @@
         self.server.fallback = self.answer
 
     async def answer(self, request: Request, send: Send) -> Reply:
-        """Handle a visibility request."""
+        """Handle a request whether a registration is seen."""
         assert isinstance(request, RegistrationSeenRequest)
         return self.check.answer(request)
 
@@ -78,7 +78,7 @@
         self.new.host_lease.registered(own=True, ordered=True)
         self.new.host_lease.renew(self.new.now)
         hosts = [self.new, *self.others]
-        self.serving = [asyncio.create_task(one.server.run()) for one in hosts]
+        self.serving = [asyncio.create_task(host.server.run()) for host in hosts]
         self.serving.append(asyncio.create_task(self.new.check.run()))
 
     async def asyncTearDown(self) -> None:
@@ -95,7 +95,7 @@
         await asyncio.sleep(5 * check_module.ASK_INTERVAL)
 
     async def test_all_see_the_new_host(self) -> None:
-        """Act as soon as all hosts see the registration."""
+        """Serve shares as soon as all hosts see the registration."""
         for other in self.others:
             other.add_registration(self.new)
         await self.wait_for_checks()
--- a/sequoiaarch/tests/fleet/scaling_tests.py
+++ b/sequoiaarch/tests/fleet/scaling_tests.py
@@ -58,12 +58,12 @@
         )
 
     def _record(self, number: int) -> KeyedRecord:
-        found = {
+        fields = {
             "address": f"127.0.0.1:{1000 + number}",
             "data_centre": str(number % DATA_CENTRES),
             "writer": writer_of(number),
         }
-        return KeyedRecord(key=f"h{number}", value=json.dumps(found).encode())
+        return KeyedRecord(key=f"h{number}", value=json.dumps(fields).encode())
 
 
 class ScalingTests(unittest.IsolatedAsyncioTestCase):
@@ -113,11 +113,11 @@
             for program in programs:
                 delegates.delegate_of(program)
             score_mock = self.count_scores()
-            found = {delegates.delegate_of(program) for program in programs}
+            hosts = {delegates.delegate_of(program) for program in programs}
             with self.subTest(size=size):
                 self.assertEqual(score_mock.call_count, 0)
                 # A large data centre has few slots for each host.
-                self.assertGreaterEqual(len(found), 0.9 * size // DATA_CENTRES)
+                self.assertGreaterEqual(len(hosts), 0.9 * size // DATA_CENTRES)
             host.peers.apply(KeyedRecord(key="h5", value=b""))
             self.assertNotIn(
                 "h5", {delegates.delegate_of(program) for program in programs}
@@ -139,7 +139,7 @@
         self.assertEqual(len(claims.lenders_of(7)), 540)
         with mock.patch.object(claims, "all") as sorting:
             self.assertEqual(
-                [one.rank for one in claims.lenders_of(7)], list(range(540))
+                [lender.rank for lender in claims.lenders_of(7)], list(range(540))
             )
         sorting.assert_not_called()
 
--- a/sequoiaarch/tests/fleet/target_reports_tests.py
+++ b/sequoiaarch/tests/fleet/target_reports_tests.py
@@ -63,7 +63,7 @@
         if self.health.request_failed(TARGET, now):
             self.reports.broadcast(TARGET, False)
 
-    def passes_over(self) -> bool:
+    def avoids_target(self) -> bool:
         """Return whether this host avoids the target."""
         now = asyncio.get_running_loop().time()
         return self.health.failure_rate(TARGET, now) == EJECTED_FAILURE_RATE
@@ -118,11 +118,11 @@
         """
         self.hosts["a"].fail()
         await self.wait_until_received("c", 1)
-        self.assertFalse(self.hosts["c"].passes_over())
+        self.assertFalse(self.hosts["c"].avoids_target())
         self.hosts["b"].fail()
         await self.wait_until_received("c", 2)
-        self.assertTrue(self.hosts["c"].passes_over())
-        self.assertTrue(self.hosts["b"].passes_over())
+        self.assertTrue(self.hosts["c"].avoids_target())
+        self.assertTrue(self.hosts["b"].avoids_target())
         self.assertEqual(self.hosts["far"].reports_received, 0)
 
     async def test_unresponsive_neighbour(self) -> None:
@@ -136,10 +136,10 @@
         self.hosts["a"].fail()
         self.hosts["b"].fail()
         await self.wait_until_received("c", 2)
-        caught = self.hosts["a"]
+        recovered = self.hosts["a"]
         later = asyncio.get_running_loop().time() + 60
-        self.assertTrue(caught.health.request_succeeded(TARGET, later))
-        caught.reports.broadcast(TARGET, True)
+        self.assertTrue(recovered.health.request_succeeded(TARGET, later))
+        recovered.reports.broadcast(TARGET, True)
         await self.wait_until_received("c", 3)
-        self.assertFalse(self.hosts["c"].passes_over())
-        self.assertFalse(caught.health.request_succeeded(TARGET, later + 1))
+        self.assertFalse(self.hosts["c"].avoids_target())
+        self.assertFalse(recovered.health.request_succeeded(TARGET, later + 1))
--- a/sequoiaarch/tests/ledger/budget_invariant_tests.py
+++ b/sequoiaarch/tests/ledger/budget_invariant_tests.py
@@ -66,9 +66,12 @@
         turn = self._random_turn()
         if turn is None:
             return
-        left = MOST - self.program.open[turn][1]
-        # Few tokens at an end and many at a crash leave the least budget.
-        tokens = self.rng.choice((min(left, 10), self.rng.randint(0, left), left))
+        remaining = MOST - self.program.open[turn][1]
+        # A turn leaves the least budget if it ends with few tokens used or crashes with
+        # many.
+        tokens = self.rng.choice(
+            (min(remaining, 10), self.rng.randint(0, remaining), remaining)
+        )
         covered = await self.program.use_tokens(turn, tokens)
         # While every open turn fits at its maximum, none may be cut off.
         fits = self.program.max_used <= self.program.limit
--- a/sequoiaarch/tests/ledger/crash_tests.py
+++ b/sequoiaarch/tests/ledger/crash_tests.py
@@ -1,4 +1,4 @@
-"""Test that a program can go on after crashes while its budget holds another turn."""
+"""Test that a program can go on after crashes while its budget allows a turn."""
 
 from __future__ import annotations
 
@@ -146,10 +146,10 @@
         """Stop all processes and cancel the tasks of crashed ones."""
         for process in self.processes:
             await process.ledger.close()
-        left = asyncio.all_tasks() - {asyncio.current_task()}
-        for task in left:
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}
+        for task in remaining:
             task.cancel()
-        await asyncio.gather(*left, return_exceptions=True)
+        await asyncio.gather(*remaining, return_exceptions=True)
 
 
 class CrashTestCase(unittest.IsolatedAsyncioTestCase):
@@ -173,13 +173,13 @@
 
     async def crash_during_turn(self, program: Program, tokens: int) -> None:
         """Crash all processes during a turn that has used `tokens`, if it fits."""
-        must = program.must_admit
+        must_admit = program.must_admit
         opened = await program.begin(program.process())
         if isinstance(opened, Reservation):
             for _ in range(4):
                 self.assertTrue(await program.use_tokens(opened, tokens // 4))
         else:
-            self.assertFalse(must, (opened, str(program)))
+            self.assertFalse(must_admit, (opened, str(program)))
         await program.crash_all()
 
 
@@ -219,10 +219,12 @@
             with self.subTest(split=split, budget=budget, count=(count, processes)):
                 program = Program(budget=budget, split=split)
                 pool = [program.process() for _ in range(processes)]
-                begun = await asyncio.gather(
+                results = await asyncio.gather(
                     *(program.begin(pool[n % processes]) for n in range(count))
                 )
-                turns = [each for each in begun if isinstance(each, Reservation)]
+                turns = [
+                    result for result in results if isinstance(result, Reservation)
+                ]
                 await asyncio.gather(*(program.use_tokens(turn, 200) for turn in turns))
                 await asyncio.gather(*(process.ledger.flush() for process in pool))
                 await program.crash_all()
@@ -242,11 +244,11 @@
                 assert isinstance(turn, Reservation)
                 self.assertTrue(await program.use_tokens(turn, tokens))
                 process.client.faults.down = True
-                more = asyncio.create_task(program.use_tokens(turn, MOST - tokens))
+                pending = asyncio.create_task(program.use_tokens(turn, MOST - tokens))
                 await asyncio.sleep(0)
                 await program.crash_all()
-                more.cancel()
-                await asyncio.wait([more])
+                pending.cancel()
+                await asyncio.wait([pending])
                 await self.check_continues(program)
                 await program.close()
 
@@ -263,12 +265,12 @@
             assert isinstance(turn, Reservation)
             self.assertTrue(await program.use_tokens(turn, 40))
             process.client.faults.delay = 0.02
-            more = asyncio.create_task(turn.cover(MOST))
+            pending = asyncio.create_task(turn.cover(MOST))
             await asyncio.sleep(0.01)
             await program.end(turn)
             await program.crash_all()
-            more.cancel()
-            await asyncio.wait([more])
+            pending.cancel()
+            await asyncio.wait([pending])
             await self.crash_during_turn(program, MOST)
             self.assertTrue(program.must_admit)
             await self.check_continues(program)
--- a/sequoiaarch/tests/ledger/fault_injection_tests.py
+++ b/sequoiaarch/tests/ledger/fault_injection_tests.py
@@ -35,7 +35,7 @@
 
 
 class _Simulation:
-    """Run turns of a few programs on processes that come and go.
+    """Run turns of a few programs on processes that start and crash.
 
     The model consists of the committed turns and the tokens used.
     """
@@ -60,10 +60,10 @@
         for process in [*self.processes, *self.stopped]:
             await process.ledger.close()
         # Tasks of lost processes wait for answers that never come.
-        left = asyncio.all_tasks() - {asyncio.current_task()}
-        for task in left:
+        remaining = asyncio.all_tasks() - {asyncio.current_task()}
+        for task in remaining:
             task.cancel()
-        await asyncio.gather(*left, return_exceptions=True)
+        await asyncio.gather(*remaining, return_exceptions=True)
 
     def inject_fault(self) -> None:
         """Inject a random fault, or end one."""
@@ -124,8 +124,8 @@
             return
         try:
             previous_prompt = self.prompts[start.previous][1] if start.previous else b""
-            found = opened.history.prompt if opened.history else b""
-            assert found == previous_prompt, (start, found, previous_prompt)
+            prompt = opened.history.prompt if opened.history else b""
+            assert prompt == previous_prompt, (start, prompt, previous_prompt)
             if await opened.verdict() is not BudgetVerdict.FITS:
                 return
             opened.write_index()
@@ -172,10 +172,10 @@
     async def _check(self, simulation: _Simulation) -> None:
         for program, used in simulation.used.items():
             self.assertLessEqual(used, BUDGET, program)
-        start_process = simulation.start_process()
-        simulation.stopped.append(start_process)
+        fresh = simulation.start_process()
+        simulation.stopped.append(fresh)
         self.assertGreater(len(simulation.prompts), 5)
         for turn, (program, prompt) in simulation.prompts.items():
-            found = await start_process.ledger.history(program, turn)
-            assert isinstance(found, History), (turn, found)
-            self.assertEqual(found.prompt, prompt)
+            history = await fresh.ledger.history(program, turn)
+            assert isinstance(history, History), (turn, history)
+            self.assertEqual(history.prompt, prompt)
--- a/sequoiaarch/tests/ledger/grant_interleaving_tests.py
+++ b/sequoiaarch/tests/ledger/grant_interleaving_tests.py
@@ -63,7 +63,7 @@
     @property
     def key(self) -> object:
         """Return all state on which later steps depend."""
-        starts = [
+        process_states = [
             (
                 process.writer,
                 process.started_at,
@@ -75,7 +75,7 @@
             + (process.granted, process.used)
             for process in self.processes.values()
         ]
-        return tuple(self.log), tuple(starts), self.used
+        return tuple(self.log), tuple(process_states), self.used
 
     def process(self, name: str) -> _Process:
         """Return a process; a new one starts from a snapshot of the newest records."""
--- a/sequoiaarch/tests/ledger/ledger_tests.py
+++ b/sequoiaarch/tests/ledger/ledger_tests.py
@@ -98,12 +98,12 @@
         """Run and commit a turn."""
         reservation = await self.reserved(ledger, turn, program=program)
         await reservation.verdict()
-        announced = ledger.write_index(reservation.terms)
+        index_write = ledger.write_index(reservation.terms)
         content = TurnContent(
             parent=TurnId(parent) if parent else None, given=given, produced=produced
         )
         await ledger.commit(reservation, content)
-        await announced
+        await index_write
 
 
 class HistoryTests(LedgerTestCase):
@@ -166,7 +166,7 @@
         self.assertEqual(prompt(result), b"inout")
 
     async def test_other_program_continues_a_turn(self) -> None:
-        """Find a turn for another program, in whatever partition that is."""
+        """Find a turn for another program, whatever its partition."""
         first = await self.ledger("a")
         second = await self.ledger("b")
         await self.commit(first, "t1", None, b"in", b"out")
@@ -178,7 +178,7 @@
     async def test_delayed_duplicate_of_a_commit(self) -> None:
         """Keep a turn whose append lost its answer and is carried out late.
 
-        The late copy arrives after the retry and after the next turn.
+        The duplicate arrives after the retry and after the next turn.
         """
         first = await self.ledger("a")
         self.clients["a"].faults.lost_replies = 1
@@ -212,8 +212,8 @@
         await second.commit(reservation, content)
         await second.write_index(reservation.terms)
         await self.store.add(second.partition_map.of_program(PROGRAM), "t1", b"")
-        small_terms = await self.ledger("c")
-        last = await small_terms.history(other, TurnId("u1"))
+        third = await self.ledger("c")
+        last = await third.history(other, TurnId("u1"))
         self.assertEqual(prompt(last), b"inout+!")
 
     async def test_dropped_turns_are_read_again(self) -> None:
@@ -366,8 +366,8 @@
             mock.patch.object(budgets_module, "RELEASE_INTERVAL", 0.1),
             mock.patch.object(ledger_module, "RELEASE_INTERVAL", 0.1),
         ):
-            returning = asyncio.create_task(first.run_release())
-            self.addCleanup(returning.cancel)
+            release_task = asyncio.create_task(first.run_release())
+            self.addCleanup(release_task.cancel)
             waiting = await first.reserve(limited_terms("t1"))
             assert isinstance(waiting, Reservation)
             self.assertIs(await waiting.verdict(), BudgetVerdict.FITS)
@@ -514,8 +514,8 @@
         """Let another process use what an idle program left unused."""
         first = await self.ledger("a")
         second = await self.ledger("b")
-        returning = asyncio.create_task(first.run_release())
-        self.addCleanup(returning.cancel)
+        release_task = asyncio.create_task(first.run_release())
+        self.addCleanup(release_task.cancel)
         for number in range(3):
             self.assertIs(
                 await self.run_turn(first, f"t{number}", 10), BudgetVerdict.FITS
@@ -560,13 +560,13 @@
             self.assertIs(
                 await self.run_turn(ledger, f"t{number}", 30), BudgetVerdict.FITS
             )
-            held = ledger._budgets.granted(PROGRAM)
-            assert held is not None
-            self.assertLessEqual(held, 30 * number + MOST)
+            granted = ledger._budgets.granted(PROGRAM)
+            assert granted is not None
+            self.assertLessEqual(granted, 30 * number + MOST)
         self.assertLessEqual(self.store.appends, 8)
 
     async def test_turn_is_refused_while_store_is_down(self) -> None:
-        """Refuse a turn at once while the store is down and there is no lender."""
+        """Refuse a turn at once while there is neither store nor lender."""
         ledger = await self.ledger("a")
         self.assertIs(await self.run_turn(ledger, "t0", 40), BudgetVerdict.FITS)
         self.clients["a"].faults.down = True
--- a/sequoiaarch/tests/ledger/loans_tests.py
+++ b/sequoiaarch/tests/ledger/loans_tests.py
@@ -119,8 +119,8 @@
         self.assertEqual(self.book.lend(LoanId("1"), terms(2000, 250), 0, MIN_LOAN), 0)
         self.assertEqual(self.book.available(PROGRAM, 2000, 0), 375)
 
-    def test_raise_request_after_the_settlement(self) -> None:
-        """Refuse to raise a loan that was settled before the request arrived.
+    def test_increase_request_after_the_settlement(self) -> None:
+        """Refuse to increase a loan that was settled before the request arrived.
 
         Only the 40 tokens that the turn used may count.
         """
@@ -150,8 +150,8 @@
         self.book.forget_old()
         self.assertEqual(self.book.lend(LoanId("1"), terms(2000, 250), 0, MIN_LOAN), 0)
 
-    def test_raised_loan_is_counted_once(self) -> None:
-        """Raise a loan that covered only a part of its turn."""
+    def test_increased_loan_is_counted_once(self) -> None:
+        """Count an increased loan once, not in addition to its first part."""
         self.book.lend(LoanId("1"), terms(2000, 250), 0, MIN_LOAN)
         self.assertEqual(
             self.book.lend(LoanId("2"), terms(2000, 250), 0, MIN_LOAN), 125
@@ -192,7 +192,7 @@
 
     def ranks(self, claims: Claims, slot: int) -> dict[str, int]:
         """Return the ranks of all processes that claimed a slot."""
-        return {one.writer: one.rank for one in claims.lenders_of(slot)}
+        return {lender.writer: lender.rank for lender in claims.lenders_of(slot)}
 
     def test_ranks_follow_the_order_of_the_log(self) -> None:
         """Derive the same ranks from claims in any order of arrival."""
@@ -280,13 +280,15 @@
         even one that was cut off, hung or replaced. Processes crash and others claim
         after them.
         """
-        self._play_all("abc", ("claim", "lend"), STEPS)
+        self._check_all_orders("abc", ("claim", "lend"), STEPS)
 
     def test_no_order_with_planned_stops_exceeds_the_bound(self) -> None:
-        """Bound it also if processes stop and leave their rank to others."""
-        self._play_all("ab", ("claim", "lend", "stop"), STEPS)
+        """Bound it also if processes stop as planned and others take their rank."""
+        self._check_all_orders("ab", ("claim", "lend", "stop"), STEPS)
 
-    def _play_all(self, hosts: str, actions: tuple[str, ...], count: int) -> None:
+    def _check_all_orders(
+        self, hosts: str, actions: tuple[str, ...], count: int
+    ) -> None:
         steps = ["grant", *(f"{action} {name}" for name in hosts for action in actions)]
         most = 0
         for order in itertools.product(steps, repeat=count):
