--- a/sequoiaarch/fleet/loan_service.py
+++ b/sequoiaarch/fleet/loan_service.py
@@ -72,8 +72,8 @@
             # A request that fails yields 0, but a loan never shrinks: what was lent
             # may have been used already.
             self._tokens = max(self._tokens, increased)
-        # A waiting stream may outlast its turn. A settled loan
-        # must not cover further tokens.
+        # A waiting stream may outlast its turn. A settled loan must not cover further
+        # tokens.
         return not self._closed and total <= self._tokens
 
     def record_usage(self, tokens: int) -> None:
--- a/sequoiaarch/tests/fleet/late_ends_tests.py
+++ b/sequoiaarch/tests/fleet/late_ends_tests.py
@@ -56,11 +56,11 @@
         assert isinstance(opened, TurnOpened), opened
         self.assertFalse(opened.granted)
         confirm = ConfirmTurnRequest(opening=opening)
-        asked = asyncio.create_task(server.answer(confirm, discard_reply))
+        confirmation = asyncio.create_task(server.answer(confirm, discard_reply))
         await lender.asked.wait()
         await server.answer(CloseTurnRequest(opening=opening, handed=0), discard_reply)
         lender.answer.set()
-        await asked
+        await confirmation
         self.assertTrue(lender.loans)
         self.assertTrue(all(loan.closed for loan in lender.loans))
         client.faults.delay = 0.0
--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -487,9 +487,9 @@
         await self.wait_until(lambda: self._knows_lender(self.other))
         successor = next(peer for peer in survivors if peer.rank == 0)
         self.assertEqual(successor.book.available(PROGRAM, BUDGET, 0), 275)
-        refused = await self.lender.turns.open(start("turn-2"))
-        assert isinstance(refused, LocalTurn)
-        self.assertIsNone(refused.covered)
+        log_turn = await self.lender.turns.open(start("turn-2"))
+        assert isinstance(log_turn, LocalTurn)
+        self.assertIsNone(log_turn.covered)
 
     async def test_lost_settlement_of_late_loan(self) -> None:
         """Retry the lost settlement of a loan that came too late to be used."""
@@ -527,12 +527,12 @@
         self.assertEqual(self.lender.book.totals(), {})
 
     async def test_turn_ends_during_borrow(self) -> None:
-        """Return a loan that is granted after its turn was closed."""
+        """Settle a loan that is granted after its turn was closed."""
         await self.other.ledger.partition(PROGRAM).sync()
         self.make_store_unavailable()
         # The turn waits for the log, and borrows within its verdict.
-        begun = LocalTurns(ledger=self.other.ledger, lender=NoLender())
-        turn = await begun.open(start("turn-1", most=300))
+        turns = LocalTurns(ledger=self.other.ledger, lender=NoLender())
+        turn = await turns.open(start("turn-1", most=300))
         assert isinstance(turn, LocalTurn)
         turn._lender = self.other.loan_service
         lender_link = UnreliableLender(self.lender)
@@ -574,10 +574,10 @@
         self.make_store_unavailable()
         first = await self.open_on_loan(self.other, "turn-1", most=200)
         delegate = TurnServer(local=self.other.turns, ledger=self.other.ledger)
-        opening = OpenTurnRequest(
+        open_request = OpenTurnRequest(
             opening=OpeningId("1"), start=start("turn-2", most=300)
         )
-        opened = await delegate.answer(opening, mock.AsyncMock())
+        opened = await delegate.answer(open_request, mock.AsyncMock())
         assert isinstance(opened, TurnOpened)
         self.assertEqual(opened.covered, 175)
         first.close()
@@ -586,8 +586,8 @@
         )
         lender_link = UnreliableLender(self.lender)
         lender_link.answer_delay = 2 * LOG_TIMEOUT
-        asked = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
-        await delegate.answer(asked, mock.AsyncMock())
+        cover_request = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
+        await delegate.answer(cover_request, mock.AsyncMock())
         await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 175})
 
@@ -604,7 +604,7 @@
         self.assertFalse(await asyncio.wait_for(covering, TEST_TIMEOUT))
 
     async def test_caller_leaves_during_borrow(self) -> None:
-        """Return a loan if the caller leaves at any time before it is granted."""
+        """Settle a loan whose caller leaves at any time before it is granted."""
         self.make_store_unavailable()
         lender_link = UnreliableLender(self.lender)
         lender_link.answer_delay = ASK_TIMEOUT / 2
--- a/sequoiaarch/tests/fleet/notifier_tests.py
+++ b/sequoiaarch/tests/fleet/notifier_tests.py
@@ -42,9 +42,9 @@
         A timeout below the silence limit would retry on the dead connection for ever.
         """
         notifier = Notifier(timeout=ATTEMPT_TIMEOUT)
-        before = self.link._socket
+        old_socket = self.link._socket
         request = CloseTurnRequest(opening=OpeningId("1"), handed=0)
         notifier.notify(self.link, request, retry_for=PEER_SILENCE_LIMIT)
         async with asyncio.timeout(3 * PEER_SILENCE_LIMIT):
-            while self.link._socket is before:
+            while self.link._socket is old_socket:
                 await asyncio.sleep(0.05)
--- a/sequoiaarch/tests/ledger/state_tests.py
+++ b/sequoiaarch/tests/ledger/state_tests.py
@@ -56,15 +56,15 @@
                 grant(rng.choice(WRITERS), rng.randrange(0, BUDGET, 40))
                 for _ in range(RECORDS)
             ]
-            split = rng.randrange(RECORDS)
+            snapshot_offset = rng.randrange(RECORDS)
             complete = LedgerState(writer=READER)
             from_snapshot = LedgerState(writer=READER)
-            for key, value in records[:split]:
+            for key, value in records[:snapshot_offset]:
                 complete.apply(key, value)
-            newest = dict(records[:split])
+            newest = dict(records[:snapshot_offset])
             for key, value in newest.items():
                 from_snapshot.apply(key, value, ordered=False)
-            for key, value in itertools.islice(records, split, None):
+            for key, value in itertools.islice(records, snapshot_offset, None):
                 complete.apply(key, value)
                 from_snapshot.apply(key, value)
                 for writer in WRITERS:
--- a/sequoiaarch/tests/ledger/sweeper_tests.py
+++ b/sequoiaarch/tests/ledger/sweeper_tests.py
@@ -105,9 +105,9 @@
                 await store.add(partition, "t2", turn())
                 return await super().append_at(log_partition, records, end=end)
 
-        racing = self.make_sweeper(_RacingClient(store=store))
-        racing._states = self.sweeper._states
-        self.assertEqual(await racing.visit(self.partition), 0)
+        racing_sweeper = self.make_sweeper(_RacingClient(store=store))
+        racing_sweeper._states = self.sweeper._states
+        self.assertEqual(await racing_sweeper.visit(self.partition), 0)
         self.assertEqual(self.remaining_keys(), {"t1", "t2"})
 
     async def test_index_records_expire_separately(self) -> None:
