--- a/sequoiaarch/tests/fleet/loan_service_tests.py
+++ b/sequoiaarch/tests/fleet/loan_service_tests.py
@@ -151,23 +151,23 @@
                 apply=self.claims.apply,
             ),
         ]
-        parts = [one.follow() for one in followers]
-        parts.append(self.peers.register(self.client, self.writer))
-        parts.append(self.claimer.run(self.client, lambda: RETENTION))
-        parts.append(self.server.run())
-        return [asyncio.create_task(part) for part in parts]
+        coroutines = [follower.follow() for follower in followers]
+        coroutines.append(self.peers.register(self.client, self.writer))
+        coroutines.append(self.claimer.run(self.client, lambda: RETENTION))
+        coroutines.append(self.server.run())
+        return [asyncio.create_task(coroutine) for coroutine in coroutines]
 
     @property
     def rank(self) -> int | None:
         """Return this process's rank for the program; None without a claim."""
-        for lending in self.claims.lenders_of(slot_of(PROGRAM)):
-            if lending.writer == self.writer:
-                return lending.rank
+        for lender in self.claims.lenders_of(slot_of(PROGRAM)):
+            if lender.writer == self.writer:
+                return lender.rank
         return None
 
 
 class UnreliableLender:
-    """Makes a lender's messages late or lost."""
+    """Make a lender's messages late or lost."""
 
     def __init__(self, process: Process) -> None:
         self._process = process
@@ -408,12 +408,12 @@
         """
         self.kill(str(self.lender.name))
         self.lender.server.close()
-        left = [one for one in self.processes if one is not self.lender]
-        for process in left:
+        survivors = [peer for peer in self.processes if peer is not self.lender]
+        for process in survivors:
             for _ in range(GONE_FAILURES):
                 process.peer_health._backoff_until.clear()
                 process.peer_health.request_failed(self.lender.name, "no reply")
-        await self.wait_until(lambda: any(one.rank == 1 for one in left))
+        await self.wait_until(lambda: any(peer.rank == 1 for peer in survivors))
         await self.wait_until(
             lambda: len(self.other.claims.lenders_of(slot_of(PROGRAM))) == 2
         )
@@ -482,14 +482,14 @@
             process.client.faults.down = False
         await self.lender.claimer.stop(self.lender.client)
         await self.lender.peers.unregister(self.lender.client, self.lender.writer)
-        left = [one for one in self.processes if one is not self.lender]
-        await self.wait_until(lambda: any(one.rank == 0 for one in left))
+        survivors = [peer for peer in self.processes if peer is not self.lender]
+        await self.wait_until(lambda: any(peer.rank == 0 for peer in survivors))
         await self.wait_until(lambda: self._knows_lender(self.other))
-        follower = next(one for one in left if one.rank == 0)
-        self.assertEqual(follower.book.available(PROGRAM, BUDGET, 0), 275)
-        refused = await self.lender.turns.open(start("turn-2"))
-        assert isinstance(refused, LocalTurn)
-        self.assertIsNone(refused.covered)
+        successor = next(peer for peer in survivors if peer.rank == 0)
+        self.assertEqual(successor.book.available(PROGRAM, BUDGET, 0), 275)
+        log_turn = await self.lender.turns.open(start("turn-2"))
+        assert isinstance(log_turn, LocalTurn)
+        self.assertIsNone(log_turn.covered)
 
     async def test_lost_settlement_of_late_loan(self) -> None:
         """Retry the lost settlement of a loan that came too late to be used."""
@@ -527,12 +527,12 @@
         self.assertEqual(self.lender.book.totals(), {})
 
     async def test_turn_ends_during_borrow(self) -> None:
-        """Return a loan that is granted after its turn was closed."""
+        """Settle a loan that is granted after its turn was closed."""
         await self.other.ledger.partition(PROGRAM).sync()
         self.make_store_unavailable()
         # The turn waits for the log, and borrows within its verdict.
-        begun = LocalTurns(ledger=self.other.ledger, lender=NoLender())
-        turn = await begun.open(start("turn-1", most=300))
+        turns = LocalTurns(ledger=self.other.ledger, lender=NoLender())
+        turn = await turns.open(start("turn-1", most=300))
         assert isinstance(turn, LocalTurn)
         turn._lender = self.other.loan_service
         lender_link = UnreliableLender(self.lender)
@@ -574,10 +574,10 @@
         self.make_store_unavailable()
         first = await self.open_on_loan(self.other, "turn-1", most=200)
         delegate = TurnServer(local=self.other.turns, ledger=self.other.ledger)
-        opening = OpenTurnRequest(
+        open_request = OpenTurnRequest(
             opening=OpeningId("1"), start=start("turn-2", most=300)
         )
-        opened = await delegate.answer(opening, mock.AsyncMock())
+        opened = await delegate.answer(open_request, mock.AsyncMock())
         assert isinstance(opened, TurnOpened)
         self.assertEqual(opened.covered, 175)
         first.close()
@@ -586,8 +586,8 @@
         )
         lender_link = UnreliableLender(self.lender)
         lender_link.answer_delay = 2 * LOG_TIMEOUT
-        asked = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
-        await delegate.answer(asked, mock.AsyncMock())
+        cover_request = CoverTurnRequest(opening=OpeningId("1"), handed=100, total=180)
+        await delegate.answer(cover_request, mock.AsyncMock())
         await self.wait_until(lambda: not self._has_open_loans())
         self.assertEqual(self.lender.book.totals(), {PROGRAM: 175})
 
@@ -604,7 +604,7 @@
         self.assertFalse(await asyncio.wait_for(covering, TEST_TIMEOUT))
 
     async def test_caller_leaves_during_borrow(self) -> None:
-        """Return a loan if the caller leaves at any time before it is granted."""
+        """Settle a loan whose caller leaves at any time before it is granted."""
         self.make_store_unavailable()
         lender_link = UnreliableLender(self.lender)
         lender_link.answer_delay = ASK_TIMEOUT / 2
@@ -632,7 +632,9 @@
         self.kill(str(self.other.name))
         self.other.server.close()
         third = next(
-            one for one in self.processes if one not in (self.lender, self.other)
+            process
+            for process in self.processes
+            if process not in (self.lender, self.other)
         )
         turn = await self.open_on_loan(third, "turn-2", most=75)
         turn.record_usage(75)
@@ -656,8 +658,8 @@
         clock = mock.Mock(return_value=0.0)
         for process in self.processes:
             process.claimer.expiry = ClaimExpiry(clock=clock)
-        lender = next(one for one in self.processes if one.rank is not None)
-        other = next(one for one in self.processes if one.rank is None)
+        lender = next(peer for peer in self.processes if peer.rank is not None)
+        other = next(peer for peer in self.processes if peer.rank is None)
         self.assertEqual(lender.rank, 2)
         self.assertEqual(lender.book.available(PROGRAM, BUDGET, 2), 23)
         await asyncio.sleep(0.3)
@@ -698,7 +700,9 @@
 
     def _knows_live_lender(self, process: Process) -> bool:
         lenders = process.claims.lenders_of(slot_of(PROGRAM))
-        return any(process.claimer.host(one.writer) is not None for one in lenders)
+        return any(
+            process.claimer.host(lender.writer) is not None for lender in lenders
+        )
 
     async def test_lender_continues_exhausted_log(self) -> None:
         """Lend the rest of a budget when the log has granted its own part.
